--- a/packages/http/src/discardBody.ts
+++ b/packages/http/src/discardBody.ts
@@ -1,23 +1,23 @@
 import type { IncomingMessage } from "node:http";
 
-/** Bytes and time that the rest of a body may take; a caller that sends on beyond these loses its answer. */
+/** Limits on the rest of a body, in bytes and time. A caller that keeps sending beyond them loses its answer. */
 const MAX_BYTES = 33_554_432;
 const MAX_MS = 2_000;
 
 /**
- * Reads the rest of a body and throws it away.
+ * Reads and discards the rest of a request's body.
  *
- * Failure: a caller still sends a body that is refused, the daemon answers and closes, and the caller's system throws the
- * unread answer away; it shows as a broken pipe in place of the refusal. Guard: the answer goes out when the body has
- * come, or has cost too much to wait for.
+ * If the server answers and closes while the caller is still sending a body that is refused, the caller's operating
+ * system discards the unread answer. Symptom: the caller gets a broken pipe instead of the refusal. To prevent this,
+ * the answer is sent only after the body has arrived or has exceeded the limits.
  *
- * @param done called once
+ * @param done called once, when the answer may be sent
  */
 export function discardBody(req: IncomingMessage, done: () => void): void {
-    const seen = { bytes: 0, isDone: false };
+    const progress = { bytes: 0, isDone: false };
     const finish = (): void => {
-        if (!seen.isDone) {
-            seen.isDone = true;
+        if (!progress.isDone) {
+            progress.isDone = true;
             clearTimeout(timer);
             done();
         }
@@ -27,8 +27,8 @@
     req.once("close", finish);
     req.once("error", finish);
     req.on("data", (chunk: Buffer) => {
-        seen.bytes += chunk.length;
-        if (seen.bytes > MAX_BYTES) {
+        progress.bytes += chunk.length;
+        if (progress.bytes > MAX_BYTES) {
             finish();
         }
     });
--- a/packages/http/src/index.ts
+++ b/packages/http/src/index.ts
@@ -1,4 +1,4 @@
-/** Reading bodies of HTTP requests within bounds. */
+/** Bounded reading of HTTP bodies. */
 export { discardBody } from "./discardBody.js";
 export { jsonOf } from "./jsonOf.js";
 export { readBody } from "./readBody.js";
--- a/packages/http/src/jsonOf.ts
+++ b/packages/http/src/jsonOf.ts
@@ -1,7 +1,7 @@
 /**
- * Reads a body as JSON. What the value holds is for the caller's schema to say.
+ * Parses a body as JSON. The value is not validated; the caller checks it against its schema.
  *
- * @returns undefined where the body is no JSON, which every schema of an object rejects
+ * @returns undefined if the body is not JSON; every schema of an object rejects that
  */
 export function jsonOf(body: Uint8Array): unknown {
     try {
--- a/packages/http/src/readBody.ts
+++ b/packages/http/src/readBody.ts
@@ -8,9 +8,8 @@
 /**
  * Reads a request's body.
  *
- * @param req the request
- * @param limit most bytes that are taken
- * @returns Left with `body-too-large`, or with `caller-gone` when the caller went away meanwhile
+ * @param limit maximum size in bytes
+ * @returns Left with `body-too-large`, or with `caller-gone` if the caller disconnected
  */
 export async function readBody(req: IncomingMessage, limit: number): Promise<Either<Refusal, Buffer>> {
     const chunks: Buffer[] = [];
--- a/packages/telemetry/src/Metrics.ts
+++ b/packages/telemetry/src/Metrics.ts
@@ -1,13 +1,13 @@
-/** Labels of one sample. Values come from closed lists or from the configuration, never from callers. */
+/** Labels of one sample. Values come from closed lists or from the configuration, never from callers' input. */
 type Labels = Readonly<Record<string, string>>;
 
-/** Counters, gauges and histograms that `/metrics` shows. A name is registered with its help text at first use. */
+/** Counters, gauges and histograms served at `/metrics`. A name is registered with its help text at its first use. */
 export type Metrics = {
     readonly count: (name: string, help: string, labels?: Labels, by?: number) => void;
-    /** Registers a gauge that is read whenever `/metrics` is; returns the function that unregisters it. */
+    /** Registers a gauge that is read on every `render`; returns a function that unregisters it. */
     readonly gauge: (name: string, help: string, read: () => number, labels?: Labels) => () => void;
-    /** Records milliseconds into a histogram. */
+    /** Records a duration in a histogram. */
     readonly record: (name: string, help: string, ms: number, labels?: Labels) => void;
-    /** All of it in Prometheus' text format. */
+    /** Returns all metrics in Prometheus' text format. */
     readonly render: () => string;
 };
--- a/packages/telemetry/src/__tests__/unit/createLoggers.test.ts
+++ b/packages/telemetry/src/__tests__/unit/createLoggers.test.ts
@@ -19,13 +19,13 @@
 piece(0);
 `;
 
-// Whoever reads the lines stalls, and the process waits for it or keeps lines without bound.
-test("createLoggers: a reader that stalls holds nothing up, and what waits for it is bounded", async t => {
+// Guards against a process that waits for a stalled reader of its log, or buffers lines without bound.
+test("createLoggers: a stalled reader does not block the process, and the buffer of lines is bounded", async t => {
     const child = spawn(process.execPath, ["--input-type=module", "--eval", PROGRAM], {
         stdio: ["ignore", "pipe", "pipe"],
     });
-    const said: string[] = [];
-    child.stderr.on("data", (data: Buffer) => said.push(data.toString()));
+    const stderr: string[] = [];
+    child.stderr.on("data", (data: Buffer) => stderr.push(data.toString()));
     await new Promise(resolve => child.once("close", resolve));
-    t.regex(said.join(""), /^all written \d+$/);
+    t.regex(stderr.join(""), /^all written \d+$/);
 });
--- a/packages/telemetry/src/createMetrics.ts
+++ b/packages/telemetry/src/createMetrics.ts
@@ -6,10 +6,10 @@
 type Labels = Readonly<Record<string, string>>;
 type Family = { readonly type: "counter" | "gauge" | "summary"; readonly help: string; };
 
-const HIGHEST_MS = 3_600_000;
-/** Values are told to within 1%; a third digit would take eight times the memory, a quarter of a megabyte a series. */
-const DIGITS = 2;
-const MICROS = 1_000;
+const MAX_MS = 3_600_000;
+/** Precision of 1%. A third digit would take eight times the memory, a quarter of a megabyte per series. */
+const SIGNIFICANT_DIGITS = 2;
+const MICROS_PER_MS = 1_000;
 const QUANTILES: readonly number[] = [0.5, 0.95, 0.99, 0.999];
 const PERCENT = 100;
 
@@ -18,34 +18,34 @@
 const labelText = (labels: Labels): string =>
     Object.entries(labels).map(([name, value]) => `${name}="${escapeLabel(value)}"`).join(",");
 
-const series = (name: string, labels: string): string => labels === "" ? name : `${name}{${labels}}`;
+const seriesName = (name: string, labels: string): string => labels === "" ? name : `${name}{${labels}}`;
 
-/** Keeps counters, gauges and histograms, and shows them in Prometheus' text format. */
+/** Creates a registry of counters, gauges and histograms that renders them in Prometheus' text format. */
 export function createMetrics(): Metrics {
     const families = new Map<string, Family>();
     const counters = new Map<string, Map<string, number>>();
     const gauges = new Map<string, Map<string, () => number>>();
     const histograms = new Map<string, Map<string, Histogram>>();
 
-    const family = <Value>(all: Map<string, Map<string, Value>>, name: string, shape: Family): Map<string, Value> => {
+    const familyOf = <Value>(all: Map<string, Map<string, Value>>, name: string, shape: Family): Map<string, Value> => {
         const known = all.get(name);
         if (known !== undefined) {
             return known;
         }
-        const made = new Map<string, Value>();
-        all.set(name, made);
+        const created = new Map<string, Value>();
+        all.set(name, created);
         families.set(name, shape);
-        return made;
+        return created;
     };
 
     const count: Metrics["count"] = (name, help, labels = {}, by = 1) => {
-        const values = family(counters, name, { type: "counter", help });
+        const values = familyOf(counters, name, { type: "counter", help });
         const key = labelText(labels);
         values.set(key, (values.get(key) ?? 0) + by);
     };
 
     const gauge: Metrics["gauge"] = (name, help, read, labels = {}) => {
-        const values = family(gauges, name, { type: "gauge", help });
+        const values = familyOf(gauges, name, { type: "gauge", help });
         const key = labelText(labels);
         values.set(key, read);
         return () => {
@@ -54,34 +54,34 @@
     };
 
     const record: Metrics["record"] = (name, help, ms, labels = {}) => {
-        const values = family(histograms, name, { type: "summary", help });
+        const values = familyOf(histograms, name, { type: "summary", help });
         const key = labelText(labels);
         const histogram = values.get(key)
             ?? build({
                 lowestDiscernibleValue: 1,
-                highestTrackableValue: HIGHEST_MS * MICROS,
-                numberOfSignificantValueDigits: DIGITS,
+                highestTrackableValue: MAX_MS * MICROS_PER_MS,
+                numberOfSignificantValueDigits: SIGNIFICANT_DIGITS,
             });
         values.set(key, histogram);
-        histogram.recordValue(Math.min(Math.max(0, Math.round(ms * MICROS)), HIGHEST_MS * MICROS));
+        histogram.recordValue(Math.min(Math.max(0, Math.round(ms * MICROS_PER_MS)), MAX_MS * MICROS_PER_MS));
     };
 
     const summaryLines = (name: string, key: string, histogram: Histogram): readonly string[] => {
         const prefix = key === "" ? "" : `${key},`;
         const quantiles = QUANTILES.map(q =>
-            `${name}{${prefix}quantile="${q}"} ${histogram.getValueAtPercentile(q * PERCENT) / MICROS}`
+            `${name}{${prefix}quantile="${q}"} ${histogram.getValueAtPercentile(q * PERCENT) / MICROS_PER_MS}`
         );
-        const sum = histogram.mean * histogram.totalCount / MICROS;
+        const sum = histogram.mean * histogram.totalCount / MICROS_PER_MS;
         return [
             ...quantiles,
-            `${series(`${name}_sum`, key)} ${Number.isFinite(sum) ? sum : 0}`,
-            `${series(`${name}_count`, key)} ${histogram.totalCount}`,
+            `${seriesName(`${name}_sum`, key)} ${Number.isFinite(sum) ? sum : 0}`,
+            `${seriesName(`${name}_count`, key)} ${histogram.totalCount}`,
         ];
     };
 
     const sampleLines = (name: string): readonly string[] => [
-        ...[...counters.get(name) ?? []].map(([key, value]) => `${series(name, key)} ${value}`),
-        ...[...gauges.get(name) ?? []].map(([key, read]) => `${series(name, key)} ${read()}`),
+        ...[...counters.get(name) ?? []].map(([key, value]) => `${seriesName(name, key)} ${value}`),
+        ...[...gauges.get(name) ?? []].map(([key, read]) => `${seriesName(name, key)} ${read()}`),
         ...[...histograms.get(name) ?? []].flatMap(([key, histogram]) => summaryLines(name, key, histogram)),
     ];
 
--- a/packages/telemetry/src/index.ts
+++ b/packages/telemetry/src/index.ts
@@ -1,4 +1,4 @@
-/** Logs and metrics of a process. */
+/** Logging and metrics of a process. */
 export { createLoggers } from "./createLoggers.js";
 export { createMetrics } from "./createMetrics.js";
 export type { Metrics } from "./Metrics.js";
