--- a/packages/router/src/RouterSettings.ts
+++ b/packages/router/src/RouterSettings.ts
@@ -1,40 +1,43 @@
 import type { FailureDomain, Millis, VmId } from "@azureshunt/core";
 
-/** Settings of one VM's router, checked. Addresses are `host:port`. */
+/** Validated settings of one VM's router. Addresses are `host:port`. */
 export type RouterSettings = {
     readonly vm: VmId;
     readonly failureDomain: FailureDomain;
-    /** How much this VM can do, compared with others, in cores or less where its link is small; relays are those that can do most. */
+    /**
+     * Capacity of this VM in cores, reduced if its network link is slow. The VMs with the highest capacity become
+     * relays.
+     */
     readonly capacity: number;
-    /** Whether all VMs start for the first time, so that nobody is served yet. */
+    /** Whether all VMs are starting for the first time, so that no callers are being served yet. */
     readonly isFirstStart: boolean;
     readonly listen: {
         readonly callers: string;
-        /** Where the balancer asks whether this VM takes requests. */
+        /** Where the load balancer checks whether this VM takes requests. */
         readonly ready: string;
-        /** Beacons over UDP; configuration and metrics over TCP. */
+        /** Beacons over UDP; configuration and topics for peers over TCP. */
         readonly peers: string;
         /** `GET /metrics`, in Prometheus' text format. */
         readonly metrics: string;
     };
-    /** Peer addresses of some VMs, which may be stale. */
+    /** Peer addresses of some VMs; they may be outdated. */
     readonly seeds: readonly string[];
-    /** How long a withdrawn key may still work after the withdrawal. */
+    /** How long a key may still work after its withdrawal. */
     readonly keyWithdrawalMs: Millis;
-    /** How long a declared change may take until it is in force. */
+    /** How long a declared change may take to come into force. */
     readonly configurationMs: Millis;
-    /** How long an engine's last order binds it to its giver. */
+    /** How long an engine's last order binds the engine to the order's issuer. */
     readonly orderLeaseMs: Millis;
-    /** After which no request may begin on weights that were replaced. */
+    /** Time after the replacement of weights at which no further request may begin on the old ones. */
     readonly weightsMs: Millis;
-    /** How long an endpoint that leaves still takes requests. */
+    /** How long a leaving endpoint still takes requests. */
     readonly leavingMs: Millis;
     /** How long this process may take to stop. */
     readonly stopMs: Millis;
     readonly retries: {
-        /** Tries beyond the first that all VMs may make, for each request. */
+        /** Retries that all VMs together may make per request. */
         readonly ratio: number;
-        /** Such tries besides, in one window. */
+        /** Retries allowed in addition per window. */
         readonly slack: number;
     };
     readonly logLevel: string;
--- a/packages/router/src/__tests__/support/createVirtualTime.ts
+++ b/packages/router/src/__tests__/support/createVirtualTime.ts
@@ -4,13 +4,16 @@
 
 type VirtualTime = {
     readonly clock: Clock;
-    /** Runs a function later; gives the function that calls it off. */
+    /** Runs a function after a delay; returns a function that cancels it. */
     readonly later: (delayMs: Millis, run: () => void) => () => void;
-    /** Runs all timers up to a moment, in order; those of the same moment as they were set. */
+    /**
+     * Runs all timers that are due up to `end` in order of time; those due at the same time run in the order they were
+     * set.
+     */
     readonly runUntil: (end: Millis) => void;
 };
 
-/** Makes a clock that goes on from timer to timer, beginning at 0. */
+/** Creates a clock that starts at 0 and advances from timer to timer. */
 export function createVirtualTime(): VirtualTime {
     const time = { now: 0 };
     const timers: Timer[] = [];
--- a/packages/router/src/__tests__/support/organisationOf.ts
+++ b/packages/router/src/__tests__/support/organisationOf.ts
@@ -2,7 +2,7 @@
 
 import type { Organisation } from "../../configuration/Organisation.js";
 
-/** An organisation with a rate and a burst in tokens. */
+/** Returns an organisation with a rate and a burst in tokens. */
 export function organisationOf(ratePerSecond: number, burst: number, id = "org"): Organisation {
     return {
         id: id as OrganisationId,
--- a/packages/router/src/__tests__/support/routingOf.ts
+++ b/packages/router/src/__tests__/support/routingOf.ts
@@ -7,7 +7,7 @@
 
 const SERVICE = "desk" as ServiceName;
 
-/** A route of a plain service on the host `a.example`. */
+/** A route on the host `a.example` to a service without a model. */
 const plainRoute: Route = {
     name: "r" as RouteName,
     host: "a.example",
@@ -32,7 +32,7 @@
     plainTokens: 1,
 };
 
-/** Makes a configuration with one organisation, whose key is `key`. */
+/** Returns a configuration with one organisation, whose key is `key`. */
 export function routingOf(revision: number, routes: readonly Partial<Route>[]): RoutingConfiguration {
     return {
         revision,
--- a/packages/router/src/__tests__/support/seededRandom.ts
+++ b/packages/router/src/__tests__/support/seededRandom.ts
@@ -1,7 +1,11 @@
 const MULTIPLIER = 48_271;
 const MODULUS = 2_147_483_647;
 
-/** Makes a source of evenly distributed numbers from 0 up to 1 that repeats for the same seed, from 1 on. */
+/**
+ * Creates a generator of uniform random numbers in [0, 1) that yields the same sequence for the same seed.
+ *
+ * @param seed 1 or more
+ */
 export function seededRandom(seed: number): () => number {
     const state = { value: seed };
     return () => {
--- a/packages/router/src/__tests__/unit/callOnce.test.ts
+++ b/packages/router/src/__tests__/unit/callOnce.test.ts
@@ -7,8 +7,8 @@
 import { EndpointAgent } from "../../dispatch/EndpointAgent.js";
 import { readerWaitMs } from "../../knowledge/readerWaitMs.js";
 
-// A timeout that is no whole number of milliseconds ends the process.
-test("callOnce: a timeout that is no whole number of milliseconds", async t => {
+// A timeout with a fraction of a millisecond would throw and end the process.
+test("callOnce: accepts a timeout with a fraction of a millisecond", async t => {
     const server = createServer((_req, res) => res.end("ok"));
     await new Promise<void>(resolve => server.listen(0, "127.0.0.1", resolve));
     const address = `127.0.0.1:${(server.address() as AddressInfo).port}`;
@@ -20,7 +20,7 @@
 });
 
 [6, 15, 40, 66].forEach(vms => {
-    test(`declarations: a reader among ${vms} VMs waits for whole milliseconds`, t => {
+    test(`declarations: a reader among ${vms} VMs waits an integral number of milliseconds`, t => {
         t.true(Number.isInteger(readerWaitMs(25 * vms)));
     });
 });
--- a/packages/router/src/__tests__/unit/dispatch.test.ts
+++ b/packages/router/src/__tests__/unit/dispatch.test.ts
@@ -8,7 +8,7 @@
 import { readAnswer } from "../../dispatch/readAnswer.js";
 
 const HEAD = "HTTP/1.1 200 OK\r\n";
-const WHOLE = `${HEAD}Content-Length: 2\r\n\r\nok`;
+const COMPLETE = `${HEAD}Content-Length: 2\r\n\r\nok`;
 
 /** Starts an endpoint that answers each request by writing to its socket. */
 const startEndpoint = async (
@@ -38,7 +38,7 @@
         return opened.kind;
     }
     const body = await readAnswer(opened);
-    return body === undefined ? "not whole" : body.toString();
+    return body === undefined ? "incomplete" : body.toString();
 };
 
 type Case = {
@@ -47,18 +47,18 @@
     readonly outcome: string;
 };
 
-// An answer that broke off passes for a whole one.
+// Guards against taking an answer that was cut off for a complete one.
 const cases: readonly Case[] = [
-    { name: "an answer with a length", answer: socket => socket.write(WHOLE), outcome: "ok" },
+    { name: "an answer with a length", answer: socket => socket.write(COMPLETE), outcome: "ok" },
     {
         name: "an answer that is shorter than its length",
         answer: socket => socket.end(`${HEAD}Content-Length: 5\r\n\r\nok`),
-        outcome: "not whole",
+        outcome: "incomplete",
     },
     {
         name: "a chunked answer without its end",
         answer: socket => socket.end(`${HEAD}Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n`),
-        outcome: "not whole",
+        outcome: "incomplete",
     },
     {
         name: "an answer without a length that ends with its connection",
@@ -71,7 +71,7 @@
             socket.write(`${HEAD}\r\nok`);
             setTimeout(() => socket.resetAndDestroy(), 30);
         },
-        outcome: "not whole",
+        outcome: "incomplete",
     },
     {
         name: "an answer without a length whose connection is reset together with its last bytes",
@@ -79,9 +79,9 @@
             socket.write(`${HEAD}\r\nok`);
             socket.resetAndDestroy();
         },
-        outcome: "not whole",
+        outcome: "incomplete",
     },
-    { name: "bytes that are no answer", answer: socket => socket.write("what?\r\n\r\n"), outcome: "broken" },
+    { name: "bytes that are not an HTTP answer", answer: socket => socket.write("what?\r\n\r\n"), outcome: "broken" },
     { name: "a connection closed before the answer", answer: socket => socket.end(), outcome: "broken" },
 ];
 
@@ -95,11 +95,12 @@
     });
 });
 
-// Reading a kept connection's address hides its reset, and half an answer passes for a whole one.
+// On a reused connection, an early read of its remote address would hide a reset, and half an answer would count as
+// complete.
 cases.forEach(({ name, answer, outcome }) => {
-    test(`dispatch: on a kept connection, ${name}`, async t => {
+    test(`dispatch: on a reused connection, ${name}`, async t => {
         const { server, address, connections } = await startEndpoint((socket, request) =>
-            request === 1 ? socket.write(WHOLE) : answer(socket, request)
+            request === 1 ? socket.write(COMPLETE) : answer(socket, request)
         );
         const agent = new EndpointAgent(() => performance.now(), () => 2);
         t.is(await call(agent, address), "ok");
@@ -110,14 +111,14 @@
     });
 });
 
-test("dispatch: an endpoint that nobody listens for was surely not reached", async t => {
+test("dispatch: an address at which nothing listens is unreached", async t => {
     const { server, address } = await startEndpoint(() => undefined);
     await new Promise(resolve => server.close(resolve));
     t.is(await call(new EndpointAgent(() => 0), address), "unreached");
 });
 
 test("dispatch: silence ends the try and its connection", async t => {
-    const { server, address } = await startEndpoint((socket, request) => request > 1 && socket.write(WHOLE));
+    const { server, address } = await startEndpoint((socket, request) => request > 1 && socket.write(COMPLETE));
     const agent = new EndpointAgent(() => performance.now());
     t.is(await call(agent, address, 50), "silent");
     t.is(await call(agent, address), "ok");
@@ -125,10 +126,10 @@
     server.close();
 });
 
-// The rest of an earlier answer on a connection goes to the next request's caller.
-test("dispatch: a connection on which more came than the answer is not used again", async t => {
+// Guards against the rest of an earlier answer on a connection going to the next request's caller.
+test("dispatch: a connection on which data arrived after the answer is not reused", async t => {
     const { server, address, connections } = await startEndpoint((socket, request) => {
-        socket.write(WHOLE);
+        socket.write(COMPLETE);
         if (request === 1) {
             setTimeout(() => socket.write(`${HEAD}Content-Length: 5\r\n\r\nother`), 20);
         }
@@ -142,8 +143,8 @@
     server.close();
 });
 
-test("dispatch: a connection that was idle for too long is not used again", async t => {
-    const { server, address, connections } = await startEndpoint(socket => socket.write(WHOLE));
+test("dispatch: a connection that was idle for too long is not reused", async t => {
+    const { server, address, connections } = await startEndpoint(socket => socket.write(COMPLETE));
     const time = { now: 0 };
     const agent = new EndpointAgent(() => time.now);
     t.is(await call(agent, address, 2_000, 1_000), "ok");
--- a/packages/router/src/__tests__/unit/findRoute.test.ts
+++ b/packages/router/src/__tests__/unit/findRoute.test.ts
@@ -24,7 +24,7 @@
 ] as const;
 
 cases.forEach(({ host, target, route }) => {
-    test(`findRoute: ${host}${target} has ${route ?? "no route"}`, t => {
+    test(`findRoute: ${host}${target} finds ${route ?? "no route"}`, t => {
         t.is(findRoute(routes, host, target)?.name as string | undefined, route);
     });
 });
@@ -45,7 +45,7 @@
 ] as const;
 
 draws.forEach(({ draw, service }) => {
-    test(`chooseService: the draw ${draw} goes to ${service}`, t => {
+    test(`chooseService: draw ${draw} chooses ${service}`, t => {
         t.is(split === undefined ? undefined : chooseService(split, draw) as string | undefined, service);
     });
 });
--- a/packages/router/src/__tests__/unit/hasDied.test.ts
+++ b/packages/router/src/__tests__/unit/hasDied.test.ts
@@ -5,29 +5,29 @@
 
 import { hasDied } from "../../dispatch/hasDied.js";
 
-const BOUNDS = { connectMs: 5_000, standsMs: 50, againMs: 5, allMs: 20_000 };
+const BOUNDS = { connectMs: 5_000, minOpenMs: 50, againMs: 5, allMs: 20_000 };
 
 type Case = {
     readonly name: string;
-    /** Connections that the process still takes and resets. */
+    /** Number of connections that the process accepts and resets first. */
     readonly resets: number;
-    /** Whether a process then listens at the address. */
+    /** Whether a process listens at the address after that. */
     readonly listens: boolean;
 };
 
-// An engine that is just dying still takes connections; it passes for alive, and its death does not count.
+// A dying engine still accepts connections. If it counted as alive, its death would not be recorded.
 const cases: readonly Case[] = [
-    { name: "nothing listens any more", resets: 0, listens: false },
-    { name: "it resets connections, then nothing listens", resets: 2, listens: false },
-    { name: "it resets connections, then takes them", resets: 2, listens: true },
-    { name: "it takes connections", resets: 0, listens: true },
+    { name: "nothing listens → dead", resets: 0, listens: false },
+    { name: "connections are reset, then nothing listens → dead", resets: 2, listens: false },
+    { name: "connections are reset, then accepted → alive", resets: 2, listens: true },
+    { name: "connections are accepted → alive", resets: 0, listens: true },
 ];
 
 cases.forEach(({ name, resets, listens }) => {
     test(`hasDied: ${name}`, async t => {
         const state = { left: resets };
         const server = createServer();
-        const goOn = (): void => {
+        const closeWhenDue = (): void => {
             if (state.left === 0 && !listens) {
                 server.close();
             }
@@ -37,12 +37,12 @@
             if (state.left > 0) {
                 state.left -= 1;
                 socket.resetAndDestroy();
-                goOn();
+                closeWhenDue();
             }
         });
         await new Promise<void>(resolve => server.listen(0, "127.0.0.1", resolve));
         const { port } = server.address() as AddressInfo;
-        goOn();
+        closeWhenDue();
         t.is(await hasDied(`127.0.0.1:${port}`, BOUNDS), !listens);
         server.close();
     });
--- a/packages/router/src/__tests__/unit/relayAnswers.test.ts
+++ b/packages/router/src/__tests__/unit/relayAnswers.test.ts
@@ -13,23 +13,26 @@
 import type { StorePort } from "../../ports/StorePort.js";
 import { routingOf } from "../support/routingOf.js";
 
-const until = async (isDone: () => boolean): Promise<void> => {
+const waitUntil = async (isDone: () => boolean): Promise<void> => {
     while (!isDone()) {
         await new Promise(done => setTimeout(done, 5));
     }
 };
 
-/** A VM whose store answers once, with a revision, and then turns it away; another VM serves the next revision. */
-const knowledgeOf = async (revision: number, peerRevision: number) => {
+/**
+ * Starts the declarations of a VM whose store has one revision and refuses reads after `loseStore`. A peer serves
+ * `peerRevision`.
+ */
+const startDeclarations = async (revision: number, peerRevision: number) => {
     const peer = createServer((_, res) => res.end(String(peerRevision)));
     await new Promise<void>(resolve => peer.listen(0, "127.0.0.1", resolve));
     const clock = createClock();
     const state = { isDown: false };
     const page = { records: [{ offset: 0, key: "config", value: Buffer.from(String(revision)) }], end: 1 };
-    const nothing = { records: [], end: 1 };
+    const noRecords = { records: [], end: 1 };
     const store = {
         newest: () => Promise.resolve(Right(page)),
-        read: () => Promise.resolve(state.isDown ? Left({ kind: "unreachable" }) : Right(nothing)),
+        read: () => Promise.resolve(state.isDown ? Left({ kind: "unreachable" }) : Right(noRecords)),
     } as unknown as StorePort;
     const wire = {
         declarationsTopic: "declarations",
@@ -51,38 +54,39 @@
         isHeld: () => false,
         checkPause: () => undefined,
     });
-    await until(() => knowledge.current().configuration !== undefined);
-    const vouch = (): void => {
+    await waitUntil(() => knowledge.current().configuration !== undefined);
+    const confirm = (): void => {
         const now = clock.now();
         const beacon = { weights: [], revision: peerRevision, confirmedMs: 0 };
-        const heard = { beacon, sentAfter: now, stampedAt: now } as unknown as Heard;
-        knowledge.hear(heard, `127.0.0.1:${(peer.address() as AddressInfo).port}`);
+        const received = { beacon, sentAfter: now, stampedAt: now } as unknown as Heard;
+        knowledge.hear(received, `127.0.0.1:${(peer.address() as AddressInfo).port}`);
     };
     const stop = (): void => {
         knowledge.stop();
         agent.destroy();
         peer.close();
     };
-    return { knowledge, vouch, stop, lose: () => void (state.isDown = true) };
+    return { knowledge, confirm, stop, loseStore: () => void (state.isDown = true) };
 };
 
-test("relay answers: what it has read is given, from an offset on", async t => {
-    const { knowledge, stop } = await knowledgeOf(1, 1);
+test("relay answers: returns the records that the relay has read, from an offset on", async t => {
+    const { knowledge, stop } = await startDeclarations(1, 1);
     t.teardown(stop);
     t.deepEqual(knowledge.answer(undefined)?.records.map(({ offset }) => offset), [0]);
     t.deepEqual(knowledge.answer(1)?.records, []);
     t.is(knowledge.answer(1)?.end, 1);
 });
 
-// A relay that the store turns away vouches for a configuration that it got from another VM, and gives no record of it.
-test("relay answers: none from one that got the newest configuration from another VM", async t => {
-    const { knowledge, vouch, stop, lose } = await knowledgeOf(1, 2);
+// A relay that cannot reach the store confirms a configuration that it got from a peer, but has no record of it to
+// return. If it answered, a VM that queries it would take its own older record for the newest.
+test("relay answers: no answer from a relay that got the newest configuration from a peer", async t => {
+    const { knowledge, confirm, stop, loseStore } = await startDeclarations(1, 2);
     t.teardown(stop);
-    lose();
-    await until(() => {
-        vouch();
+    loseStore();
+    await waitUntil(() => {
+        confirm();
         return knowledge.current().configuration?.revision === 2;
     });
-    vouch();
+    confirm();
     t.is(knowledge.answer(1), undefined);
 });
--- a/packages/router/src/configuration/CallerLimits.ts
+++ b/packages/router/src/configuration/CallerLimits.ts
@@ -1,10 +1,10 @@
 import type { Millis } from "@azureshunt/core";
 
-/** What a caller may send, and how long it may take. */
+/** Size and time limits for callers' requests. */
 export type CallerLimits = {
     readonly headerBytes: number;
     readonly bodyBytes: number;
     readonly headerTimeoutMs: Millis;
-    /** How long a connection may stay open without a request. */
+    /** Maximum idle time of a caller's connection. */
     readonly idleTimeoutMs: Millis;
 };
--- a/packages/router/src/configuration/Organisation.ts
+++ b/packages/router/src/configuration/Organisation.ts
@@ -1,18 +1,18 @@
 import type { OrganisationId, Tokens } from "@azureshunt/core";
 
-/** Who a key belongs to, and what it may use. */
+/** Owner of API keys, with its priority and rate limit. */
 export type Organisation = {
     readonly id: OrganisationId;
     readonly keys: readonly string[];
-    /** Goes before the route's priority. */
+    /** Overrides the route's priority. */
     readonly priority: number | undefined;
-    /** Whether it shares no cached part with any other organisation. */
+    /** Whether it shares no cached prompt parts with other organisations. */
     readonly isIsolated: boolean;
-    /** Whether rate and burst count requests in place of tokens. */
+    /** Whether rate and burst count requests instead of tokens. */
     readonly countsRequests: boolean;
-    /** Tokens a second over all VMs; undefined where there is no limit. */
+    /** Tokens per second over all VMs; `undefined` if there is no limit. */
     readonly ratePerSecond: Tokens | undefined;
     readonly burst: Tokens;
-    /** What a request counts that does not say how many tokens it needs. */
+    /** Tokens charged for a request that does not state how many it needs. */
     readonly plainTokens: Tokens;
 };
--- a/packages/router/src/configuration/RequestKind.ts
+++ b/packages/router/src/configuration/RequestKind.ts
@@ -1,9 +1,9 @@
 /**
- * What may be done twice.
+ * Whether a request may run more than once.
  *
  * - `idempotent`: may run more than once.
  * - `at-most-once`: runs once or not at all.
  * - `stream`: a stream of events; runs once or not at all.
- * - `resumable-stream`: a stream that another endpoint can go on with from the last event that the caller has.
+ * - `resumable-stream`: a stream that another endpoint can continue after the last event that the caller received.
  */
 export type RequestKind = "idempotent" | "at-most-once" | "stream" | "resumable-stream";
--- a/packages/router/src/configuration/RouteName.ts
+++ b/packages/router/src/configuration/RouteName.ts
@@ -1,2 +1,2 @@
-/** Name of a route, as the configuration gives it. */
+/** Name of a route in the configuration. */
 export type RouteName = string & { readonly brand: "RouteName"; };
--- a/packages/router/src/configuration/Service.ts
+++ b/packages/router/src/configuration/Service.ts
@@ -1,16 +1,16 @@
 import type { FailureDomain, ServiceName } from "@azureshunt/core";
 
-/** What the configuration says of the engines of a service. */
+/** Limits of the engines of a service. */
 type EngineLimits = {
-    /** Requests that one engine runs at once. */
+    /** Requests that one engine runs concurrently. */
     readonly slots: number;
-    /** Tokens that fit into one engine's memory. */
+    /** Tokens that fit into one engine's KV cache. */
     readonly cacheTokens: number;
 };
 
-/** A KV cache store: engines fetch cached parts from it and save them there. */
+/** A KV cache store. Engines fetch cached prompt parts from it and save them there. */
 type CacheStore = {
-    /** `host:port`, as engines are told it. */
+    /** `host:port`, as sent to engines. */
     readonly address: string;
     readonly failureDomain: FailureDomain;
     /** Tokens that fit into it. */
@@ -20,10 +20,10 @@
 /** A service whose endpoints register themselves. */
 export type Service = {
     readonly name: ServiceName;
-    /** Connections that one endpoint takes from all VMs together. */
+    /** Connections that one endpoint accepts from all VMs together. */
     readonly maxConnections: number;
-    /** Undefined for plain services. */
+    /** `undefined` for services without a model. */
     readonly engine: EngineLimits | undefined;
-    /** Set only for the store of cached parts, which takes no requests. */
+    /** Set only for the KV cache store, which takes no requests from callers. */
     readonly cacheStore: CacheStore | undefined;
 };
--- a/packages/router/src/configuration/chooseService.ts
+++ b/packages/router/src/configuration/chooseService.ts
@@ -3,15 +3,16 @@
 import type { Route } from "./Route.js";
 
 /**
- * Chooses the service of one request, so that over many requests each target gets its share.
+ * Chooses the service for one request so that over many requests each target gets its share.
  *
- * @param draw evenly distributed from 0 up to 1
+ * @param draw random number, uniform in [0, 1)
+ * @returns undefined if no target has a weight above 0
  */
 export function chooseService(route: Route, draw: number): ServiceName | undefined {
     const total = route.targets.reduce((sum, target) => sum + target.weight, 0);
-    const point = { left: draw * total };
+    const point = { remaining: draw * total };
     return route.targets.find(target => {
-        point.left -= target.weight;
-        return point.left < 0;
+        point.remaining -= target.weight;
+        return point.remaining < 0;
     })?.service ?? route.targets.find(target => target.weight > 0)?.service;
 }
--- a/packages/router/src/configuration/findRoute.ts
+++ b/packages/router/src/configuration/findRoute.ts
@@ -6,10 +6,11 @@
 };
 
 /**
- * Finds the route of a request: of the routes of its host the one with the longest prefix of its path.
+ * Finds the route of a request: among the routes of its host, the one with the longest matching path prefix.
  *
  * @param host value of the `Host` header
  * @param target path and query, as sent
+ * @returns undefined if no route matches
  */
 export function findRoute(routes: readonly Route[], host: string, target: string): Route | undefined {
     const path = pathOf(target);
--- a/packages/router/src/dispatch/EndpointCall.ts
+++ b/packages/router/src/dispatch/EndpointCall.ts
@@ -6,13 +6,15 @@
     readonly address: string;
     readonly method: string;
     readonly target: string;
-    /** Names and values by turns, as they go out. */
+    /** Alternating names and values, as sent. */
     readonly headers: readonly string[];
     readonly body: Buffer;
-    /** Longest time that a kept connection may have been idle. */
+    /** Maximum idle time of a connection that may be reused for this call. */
     readonly keptIdleMs: Millis;
-    /** Time until the head of the answer, after which the try counts as silent unless `isAlive` says otherwise. */
+    /** Time limit for the head of the answer. After it the try counts as silent, unless `isAlive` returns true. */
     readonly headMs: Millis;
-    /** Whether the endpoint shows life by other means, so that waiting on makes sense; never where left out. */
+    /**
+     * Whether other activity shows that the endpoint is alive, so that it is worth waiting longer. Defaults to false.
+     */
     readonly isAlive?: () => boolean;
 };
--- a/packages/router/src/dispatch/OpenedCall.ts
+++ b/packages/router/src/dispatch/OpenedCall.ts
@@ -1,13 +1,13 @@
 import type { IncomingMessage } from "node:http";
 
-/** A call whose answer has begun, or that failed before. */
+/** A call whose answer has started, or that failed before. */
 export type OpenedCall =
     | {
         readonly kind: "head";
         readonly res: IncomingMessage;
-        /** Whether an error was seen on the connection; an answer that ends after one is not whole. */
+        /** Whether the connection had an error. An answer that ends after an error is incomplete. */
         readonly isBroken: () => boolean;
-        /** Whether the connection ended by a reset, though it looked like a plain end. */
+        /** Whether the connection was reset, although Node reported a normal end. */
         readonly wasReset: () => boolean;
     }
     | { readonly kind: "unreached" | "broken" | "silent" | "cancelled"; };
--- a/packages/router/src/dispatch/createEventSplitter.ts
+++ b/packages/router/src/dispatch/createEventSplitter.ts
@@ -1,7 +1,8 @@
-/** One event of a stream, as the bytes that carry it. */
+/** One event of an event stream. */
 type StreamEvent = {
+    /** The event as received, including its final blank line. */
     readonly bytes: Buffer;
-    /** The event's id; undefined where it has none or no whole number. */
+    /** `undefined` if the event has no id or the id is not an integer. */
     readonly id: number | undefined;
 };
 
@@ -14,28 +15,29 @@
 };
 
 /**
- * Cuts a stream's bytes into whole events. An endpoint that dies in the middle of an event leaves a part that nobody is
- * given.
+ * Creates a splitter of a stream's bytes into complete events. If an endpoint dies in the middle of an event, the
+ * partial event is never returned.
  *
- * @returns a function from the next bytes to the events that are whole now, and one to the bytes that are left over
+ * @returns `push`, which takes the next bytes and returns the events completed by them, and `rest`, the number of bytes
+ *   of the incomplete event
  */
 export function createEventSplitter(): {
     readonly push: (chunk: Buffer) => readonly StreamEvent[];
     readonly rest: () => number;
 } {
-    const held: { bytes: Buffer; } = { bytes: Buffer.alloc(0) };
-    const takeNext = (): readonly StreamEvent[] => {
-        const end = held.bytes.indexOf(EVENT_END);
+    const buffered: { bytes: Buffer; } = { bytes: Buffer.alloc(0) };
+    const takeEvents = (): readonly StreamEvent[] => {
+        const end = buffered.bytes.indexOf(EVENT_END);
         if (end < 0) {
             return [];
         }
-        const bytes = held.bytes.subarray(0, end + EVENT_END.length);
-        held.bytes = held.bytes.subarray(end + EVENT_END.length);
-        return [eventOf(bytes), ...takeNext()];
+        const bytes = buffered.bytes.subarray(0, end + EVENT_END.length);
+        buffered.bytes = buffered.bytes.subarray(end + EVENT_END.length);
+        return [eventOf(bytes), ...takeEvents()];
     };
     const push = (chunk: Buffer): readonly StreamEvent[] => {
-        held.bytes = held.bytes.length === 0 ? chunk : Buffer.concat([held.bytes, chunk]);
-        return takeNext();
+        buffered.bytes = buffered.bytes.length === 0 ? chunk : Buffer.concat([buffered.bytes, chunk]);
+        return takeEvents();
     };
-    return { push, rest: () => held.bytes.length };
+    return { push, rest: () => buffered.bytes.length };
 }
--- a/packages/router/src/dispatch/failureOfOutcome.ts
+++ b/packages/router/src/dispatch/failureOfOutcome.ts
@@ -12,11 +12,11 @@
     silent: { kind: "silent" },
     failed: { kind: "failed" },
     garbled: { kind: "crossed" },
-    // As with silence: the endpoint ran a part, and the rest is asked for elsewhere.
+    // As after silence, the endpoint ran part of the request and another one is asked for the rest.
     moved: { kind: "silent" },
 };
 
-/** Gives a failed try in the terms in which the next step is decided. */
+/** Converts the outcome of a failed try to the failure from which the next step is decided. */
 export function failureOfOutcome(kind: FailedKind): TryFailure {
     return FAILURES[kind];
 }
--- a/packages/router/src/dispatch/hasDied.ts
+++ b/packages/router/src/dispatch/hasDied.ts
@@ -4,26 +4,26 @@
 import { probeUntilClear } from "@azureshunt/request";
 import type { Probe, ProbePace } from "@azureshunt/request";
 
-/** Bounds of asking a process whether it lives. */
+/** Time limits for probing whether a process is alive. */
 type ProbeBounds = ProbePace & {
-    /** For one connection to be taken or refused. */
+    /** For a connection to be accepted or refused. */
     readonly connectMs: Millis;
-    /** How long a connection that was taken must stand: a dying process resets it within some milliseconds. */
-    readonly standsMs: Millis;
+    /** How long an accepted connection must stay open. A dying process resets it within a few milliseconds. */
+    readonly minOpenMs: Millis;
 };
 
-const BOUNDS: ProbeBounds = { connectMs: 300, standsMs: 20, againMs: 25, allMs: 900 };
+const BOUNDS: ProbeBounds = { connectMs: 300, minOpenMs: 20, againMs: 25, allMs: 900 };
 
-const probe = (address: string, { connectMs, standsMs }: ProbeBounds): Promise<Probe> => {
+const probe = (address: string, { connectMs, minOpenMs }: ProbeBounds): Promise<Probe> => {
     const [host, port] = address.split(":");
     return new Promise(resolve => {
         const socket = connect({ host, port: Number(port) });
-        const settle = (found: Probe): void => {
+        const settle = (result: Probe): void => {
             socket.destroy();
-            resolve(found);
+            resolve(result);
         };
         socket.setTimeout(connectMs, () => settle(socket.connecting ? "unclear" : "alive"));
-        socket.once("connect", () => socket.setTimeout(standsMs));
+        socket.once("connect", () => socket.setTimeout(minOpenMs));
         socket.once("close", () => settle("unclear"));
         socket.once("error", (err: NodeJS.ErrnoException) => settle(err.code === "ECONNREFUSED" ? "dead" : "unclear"));
         socket.resume();
@@ -31,10 +31,10 @@
 };
 
 /**
- * Finds out whether nothing listens at an address, after a connection to it broke.
+ * Returns whether nothing listens at an address any more, after a connection to it broke.
  *
- * Failure: something on the way cuts connections, and requests that merely lost theirs count as the cause of a crash.
- * Guard: only where a connection is refused has the process ended.
+ * If the network cuts connections, requests that merely lost theirs would count as the cause of a crash. To prevent
+ * this, the process counts as dead only if a new connection is refused.
  *
  * @param address `host:port`
  */
--- a/packages/router/src/dispatch/openCall.ts
+++ b/packages/router/src/dispatch/openCall.ts
@@ -5,31 +5,33 @@
 import type { EndpointCall } from "./EndpointCall.js";
 import type { OpenedCall } from "./OpenedCall.js";
 
-/** Bound on opening a connection: tens of round trips inside a region; a dead endpoint answers never. */
+/** Time limit for opening a connection: tens of round trips inside a region. A dead endpoint never answers. */
 const CONNECT_MS = 200;
-/** Between looks at whether a quiet endpoint still shows life. */
-const ASK_AGAIN_MS = 200;
+/** Interval of checking whether a silent endpoint is still alive. */
+const RECHECK_MS = 200;
 
 /**
- * Failure: an endpoint crashes in mid-answer and its connection is reset together with the last bytes. libuv then reports
- * a plain end of the stream, and an answer without a length looks whole. Guard: the system knows no peer of a connection
- * that was reset, while it still names the peer of one that was closed. Node asks it when the address is first read, so
- * nothing may read the address before.
+ * Returns whether a connection that has just ended was reset.
+ *
+ * If an endpoint crashes in mid-answer, its connection is reset together with the last bytes. libuv then reports a
+ * normal end of the stream, and an answer without a length looks complete. To detect this: the operating system has no
+ * remote address for a connection that was reset, but still has one for a connection that was closed. Node asks for it
+ * when the address is first read, so nothing may read the address before.
  */
 const isReset = (socket: Socket): boolean => socket.remoteAddress === undefined;
 
 /**
  * Sends a request to an endpoint and waits for the head of its answer.
  *
- * Failure: the endpoint is dark or its connection lost. A request may be sent again only while no byte of it can have
- * arrived. Guard: `unreached` is said only when the connection was never open; on a kept connection every failure is
- * `broken`, which promises nothing.
+ * If the endpoint stops responding or its connection is lost, the request may be sent again only if no byte of it can
+ * have arrived. Therefore the result is `unreached` only if the connection was never open. On a reused connection every
+ * failure is `broken` or `silent`, neither of which guarantees that the request has not run.
  *
  * @param signal ends the call and its connection
  */
 export function openCall(agent: EndpointAgent, call: EndpointCall, signal: AbortSignal): Promise<OpenedCall> {
     const [host, port] = call.address.split(":");
-    agent.dropIdle(call.address, call.keptIdleMs);
+    agent.destroyIdle(call.address, call.keptIdleMs);
     return new Promise(resolve => {
         if (signal.aborted) {
             resolve({ kind: "cancelled" });
@@ -42,31 +44,31 @@
             port: Number(port),
             method: call.method,
             path: call.target,
-            // Node takes names and values by turns, though its types do not say so.
+            // Node accepts alternating names and values, although its types do not say so.
             headers: call.headers as unknown as Record<string, string>,
             setHost: false,
         });
         const abort = (): void => {
             req.destroy();
         };
-        const giveUp = (): void => {
+        const endAsSilent = (): void => {
             progress.isSilent = true;
             req.destroy();
         };
         const connectTimer = setTimeout(() => {
             if (!progress.isConnected) {
-                giveUp();
+                endAsSilent();
             }
         }, CONNECT_MS);
         const headTimer = { current: undefined as NodeJS.Timeout | undefined };
-        const onQuiet = (): void => {
+        const onSilence = (): void => {
             if (progress.isConnected && call.isAlive?.() === true) {
-                headTimer.current = setTimeout(onQuiet, ASK_AGAIN_MS);
+                headTimer.current = setTimeout(onSilence, RECHECK_MS);
                 return;
             }
-            giveUp();
+            endAsSilent();
         };
-        headTimer.current = setTimeout(onQuiet, call.headMs);
+        headTimer.current = setTimeout(onSilence, call.headMs);
         const settle = (opened: OpenedCall): void => {
             clearTimeout(connectTimer);
             clearTimeout(headTimer.current);
@@ -74,7 +76,7 @@
         };
         signal.addEventListener("abort", abort, { once: true });
         req.once("socket", socket => {
-            agent.noteAddress(socket, call.address);
+            agent.recordAddress(socket, call.address);
             const onEnd = (): void => {
                 progress.wasReset = isReset(socket);
             };
--- a/packages/router/src/dispatch/readAnswer.ts
+++ b/packages/router/src/dispatch/readAnswer.ts
@@ -1,16 +1,17 @@
 import { endsWhole } from "./endsWhole.js";
 import type { OpenedCall } from "./OpenedCall.js";
 
-/** Largest answer that is held in memory before it goes to the caller. */
+/** Size limit of an answer that is buffered in memory before it goes to the caller. */
 const MAX_ANSWER_BYTES = 8 * 1024 * 1024;
 
 /**
  * Reads an answer to its end.
  *
- * Failure: an answer without a length ends with its connection, and a connection that is reset looks like that end. The
- * caller would get half of it as a success. Guard: an answer is whole only if it ended without an error on the way.
+ * An answer without a length ends with its connection, and a reset of the connection looks like that end. The caller
+ * would get half of the answer as a success. To prevent this, an answer counts as complete only if it ended without an
+ * error.
  *
- * @returns undefined when the answer is not whole
+ * @returns undefined if the answer is incomplete or too large
  */
 export function readAnswer(opened: Extract<OpenedCall, { kind: "head"; }>): Promise<Buffer | undefined> {
     const { res } = opened;
--- a/packages/router/src/ports/CallerRequest.ts
+++ b/packages/router/src/ports/CallerRequest.ts
@@ -1,19 +1,19 @@
 import type { Millis, ModelName, RequestId, Tokens } from "@azureshunt/core";
 
-/** One part of a prompt; requests whose prompts begin with the same parts share them. */
+/** One part of a prompt. Requests whose prompts begin with the same parts can share their cached state. */
 type PromptPart = { readonly id: string; readonly tokens: Tokens; };
 
-/** What a request says of its prompt and of the answer that it wants. */
+/** Prompt and expected answer of a request to a model. */
 type PromptInfo = {
     readonly model: ModelName;
     readonly promptTokens: Tokens;
-    /** Most tokens of the answer. */
+    /** Maximum number of tokens in the answer. */
     readonly outputTokens: Tokens;
-    /** In order; the last one belongs to this request or its session alone. */
+    /** In prompt order. The last part belongs only to this request or its session. */
     readonly parts: readonly PromptPart[];
 };
 
-/** A caller's request, decoded. */
+/** Decoded request of a caller. */
 export type CallerRequest = {
     readonly id: RequestId;
     readonly host: string;
@@ -21,12 +21,12 @@
     /** Path and query, as sent. */
     readonly target: string;
     readonly key: string | undefined;
-    /** How long the caller waits, from the request's arrival. */
+    /** How long the caller waits, measured from the request's arrival. */
     readonly deadlineMs: Millis | undefined;
-    /** Undefined for plain services. */
+    /** `undefined` for services without a model. */
     readonly prompt: PromptInfo | undefined;
-    /** The last event that the caller has of a stream that it resumes. */
+    /** Id of the last event that the caller received of a stream that it resumes. */
     readonly lastEventId: number | undefined;
-    /** Headers that go on to the endpoint as they came, names and values by turns. */
-    readonly passedHeaders: readonly string[];
+    /** Headers forwarded to the endpoint unchanged, as alternating names and values. */
+    readonly forwardedHeaders: readonly string[];
 };
--- a/packages/router/src/ports/CallerWire.ts
+++ b/packages/router/src/ports/CallerWire.ts
@@ -5,14 +5,14 @@
 
 import type { CallerRequest } from "./CallerRequest.js";
 
-/** How requests and refusals look on the way between callers and this VM. */
+/** Codec for requests, refusals and answer headers between callers and this VM. */
 export type CallerWire = {
-    /** Left where the request is malformed. */
+    /** @returns Left with the refusal if the request is malformed */
     readonly decode: (req: IncomingMessage) => Either<Refusal, CallerRequest>;
     readonly encodeRefusal: (refusal: Refusal) => {
         readonly headers: readonly string[];
         readonly body: string;
     };
-    /** Headers of an endpoint's answer that go to the caller, names and values by turns. */
+    /** Selects the headers of an endpoint's answer that go to the caller. Names and values alternate. */
     readonly passAnswerHeaders: (rawHeaders: readonly string[]) => readonly string[];
 };
--- a/packages/router/src/ports/EndpointHead.ts
+++ b/packages/router/src/ports/EndpointHead.ts
@@ -1,14 +1,14 @@
-/** What the head of an endpoint's answer says. */
+/** Decoded head of an endpoint's answer. */
 export type EndpointHead = {
     readonly status: number;
-    /** The request that it answers. */
+    /** Id of the request that it answers. */
     readonly requestId: string | undefined;
-    /** Whether it bears the endpoint's seal, without which no success is genuine. */
+    /** Whether it carries the endpoint's seal. A success without a seal is not genuine. */
     readonly isSealed: boolean;
-    /** The endpoint vouches that it has not run the request. */
+    /** Whether the endpoint guarantees that it has not run the request. */
     readonly isNotRun: boolean;
-    /** Whether the body was encoded on the way and so is not the endpoint's own. */
+    /** Whether the body was encoded in transit, so that it is not the body that the endpoint sent. */
     readonly isEncoded: boolean;
-    /** Version of the weights that answer. */
+    /** Version of the weights that produced the answer. */
     readonly weights: number | undefined;
 };
--- a/packages/router/src/ports/EndpointRequest.ts
+++ b/packages/router/src/ports/EndpointRequest.ts
@@ -2,25 +2,25 @@
 
 import type { CallerRequest } from "./CallerRequest.js";
 
-/** A request as it goes to one endpoint. */
+/** A request as sent to one endpoint. */
 export type EndpointRequest = {
     readonly caller: CallerRequest;
-    /** Only this endpoint may run it, not another one that has got its address. */
+    /** Only this endpoint may run the request, not another one that has since taken over its address. */
     readonly endpoint: EndpointName;
     readonly organisation: OrganisationId | undefined;
-    /** What is left of the caller's and the route's time. */
+    /** Time left before the caller's deadline and the route's timeout. */
     readonly remainingMs: Millis;
     /** 0 is the most urgent. */
     readonly priority: number | undefined;
-    /** The weights that the endpoint must hold. */
+    /** Version of the weights that the endpoint must hold. */
     readonly weights: number | undefined;
-    /** Only prompts with the same salt share cached parts. */
+    /** Only prompts with the same salt share cached prompt parts. */
     readonly cacheSalt: string | undefined;
-    /** `host:port` of a store or engine to fetch cached parts from. */
+    /** `host:port` of a cache store or engine from which to fetch cached prompt parts. */
     readonly fetchFrom: string | undefined;
-    /** `host:port` of a store to save the prompt's parts to. */
+    /** `host:port` of a cache store to which to save the prompt's parts. */
     readonly saveTo: string | undefined;
-    /** Go on after this event. */
+    /** Id of the event after which to resume the stream. */
     readonly resumeAfter: number | undefined;
     readonly bodyBytes: number;
 };
--- a/packages/router/src/ports/EndpointWire.ts
+++ b/packages/router/src/ports/EndpointWire.ts
@@ -5,7 +5,7 @@
 import type { EngineReport } from "./EngineReport.js";
 import type { WeightsOrder } from "./WeightsOrder.js";
 
-/** One HTTP call, encoded. */
+/** One encoded HTTP call. */
 type EncodedCall = {
     readonly method: string;
     readonly target: string;
@@ -13,12 +13,12 @@
     readonly body: Buffer;
 };
 
-/** How requests, orders and reports look on the way between this VM and endpoints. */
+/** Codec for requests, orders and reports between this VM and endpoints. */
 export type EndpointWire = {
     readonly encodeHeaders: (request: EndpointRequest) => readonly string[];
     readonly decodeHead: (res: IncomingMessage) => EndpointHead;
     readonly encodeOrder: (order: WeightsOrder) => EncodedCall;
     readonly reportCall: EncodedCall;
-    /** Undefined where the body cannot be read. */
+    /** @returns undefined if the body is not a valid report */
     readonly decodeReport: (body: Buffer) => EngineReport | undefined;
 };
--- a/packages/router/src/ports/EngineReport.ts
+++ b/packages/router/src/ports/EngineReport.ts
@@ -1,9 +1,10 @@
 import type { ModelName } from "@azureshunt/core";
 
-/** What an engine reports of itself. */
+/** An engine's report on itself. */
 export type EngineReport = {
     readonly versions: ReadonlyMap<ModelName, number>;
-    /** Whether it is carrying out an order. */
+    /** Whether the engine is executing an order. */
     readonly isBusy: boolean;
+    /** Number of orders that the engine has accepted. */
     readonly ordersTaken: number;
 };
--- a/packages/router/src/ports/StoreFailure.ts
+++ b/packages/router/src/ports/StoreFailure.ts
@@ -1,10 +1,10 @@
 /**
- * Why a call came to nothing.
+ * Why a call to the store failed.
  *
- * - `unreachable`: the store did nothing.
- * - `lost`: no answer came; a write may have taken effect, or may yet do so.
- * - `expired`: the records asked for are no longer kept; the oldest is at `first`.
- * - `moved`: the topic did not end where the writer thought.
+ * - `unreachable`: the store was not reached or refused the call; the call had no effect.
+ * - `lost`: no usable answer arrived; a write may have taken effect or may still do so.
+ * - `expired`: the requested records are no longer kept; the oldest kept record has offset `first`.
+ * - `moved`: the topic did not end at the offset that the writer expected.
  */
 export type StoreFailure =
     | { readonly kind: "unreachable" | "lost" | "moved"; }
--- a/packages/router/src/ports/StorePage.ts
+++ b/packages/router/src/ports/StorePage.ts
@@ -1,10 +1,10 @@
-/** One record of a topic. Topics without keys have `key` empty. */
+/** One record of a topic. In topics without keys, `key` is empty. */
 type StoreRecord = {
     readonly offset: number;
     readonly key: string;
-    /** Undefined where the key was dropped. */
+    /** `undefined` if the key was deleted. */
     readonly value: Buffer | undefined;
 };
 
-/** What a read gives: `end` is the offset of the next record. */
+/** Result of a read. `end` is the offset of the next record to be appended. */
 export type StorePage = { readonly records: readonly StoreRecord[]; readonly end: number; };
--- a/packages/router/src/ports/StorePort.ts
+++ b/packages/router/src/ports/StorePort.ts
@@ -3,14 +3,14 @@
 import type { StoreFailure } from "./StoreFailure.js";
 import type { StorePage } from "./StorePage.js";
 
-/** The store in which what must last lies: topics of records, with the newest record of each key kept for good. */
+/** The store of durable state: topics of records. Topics with keys keep the newest record of each key permanently. */
 export type StorePort = {
-    /** The newest record of each key. */
+    /** Reads the newest record of each key. */
     readonly newest: (topic: string) => Promise<Either<StoreFailure, StorePage>>;
-    /** Records from an offset; waits for one up to `waitMs`. */
+    /** Reads the records from an offset on; if there is none, waits up to `waitMs` for one. */
     readonly read: (topic: string, from: number, waitMs: number) => Promise<Either<StoreFailure, StorePage>>;
-    /** Appends one record, only if it gets offset `at`. */
+    /** Appends one record only if it gets offset `at`; returns its offset. */
     readonly appendAt: (topic: string, at: number, value: Buffer) => Promise<Either<StoreFailure, number>>;
-    /** Writes the newest record of a key. */
+    /** Writes the newest record of a key; returns its offset. */
     readonly put: (topic: string, key: string, value: Buffer) => Promise<Either<StoreFailure, number>>;
 };
--- a/packages/router/src/startGauges.ts
+++ b/packages/router/src/startGauges.ts
@@ -3,12 +3,13 @@
 import { orderFence } from "./fleet/orderFence.js";
 import type { NewsSources } from "./peers/NewsSources.js";
 
-/** What the gauges are read from, whenever `/metrics` is asked for. */
+/** Sources of the gauges, read on every request for `/metrics`. */
 type GaugeSources = Pick<NewsSources, "clock" | "knowledge" | "book" | "allowances" | "orders" | "membership">;
 
-const NOT_HELD = -1;
+/** Value of `order_fence` while this VM does not hold the lease. */
+const NO_FENCE = -1;
 
-/** Registers the gauges of a router; returns the function that unregisters them. */
+/** Registers the gauges of a router and returns a function that unregisters them. */
 export function startGauges(metrics: Metrics, sources: GaugeSources): () => void {
     const { clock, knowledge, book, allowances, orders, membership } = sources;
     const sumOf = (size: "running" | "waitingTokens"): number =>
@@ -43,7 +44,7 @@
         [
             "order_fence",
             "Fencing token of the order lease while this VM holds it, else -1.",
-            () => orderFence(orders.lease(), clock.now()) ?? NOT_HELD,
+            () => orderFence(orders.lease(), clock.now()) ?? NO_FENCE,
         ],
     ];
     const gauges = rows.map(([name, help, read]) => metrics.gauge(`azureshunt_${name}`, help, read));
--- a/packages/router/src/startMetricsListener.ts
+++ b/packages/router/src/startMetricsListener.ts
@@ -7,7 +7,7 @@
 const OK = 200;
 const NOT_FOUND = 404;
 
-/** Serves `GET /metrics` in Prometheus' text format. */
+/** Starts an HTTP listener that serves `GET /metrics` in Prometheus' text format. */
 export function startMetricsListener(address: string, metrics: Metrics): Promise<Server> {
     return startListener(address, (req, res) => {
         const isKnown = req.url === "/metrics";
--- a/packages/router/src/startRouter.ts
+++ b/packages/router/src/startRouter.ts
@@ -8,7 +8,7 @@
 import { createAllowances } from "./allowance/createAllowances.js";
 import { EndpointAgent } from "./dispatch/EndpointAgent.js";
 import { hasDied } from "./dispatch/hasDied.js";
-import { keptConnections } from "./dispatch/keptConnections.js";
+import { maxIdleConnections } from "./dispatch/maxIdleConnections.js";
 import { startOrders } from "./fleet/startOrders.js";
 import { createPauseWatch } from "./knowledge/createPauseWatch.js";
 import { startKnowledge } from "./knowledge/startKnowledge.js";
@@ -37,11 +37,11 @@
 import { startFront } from "./serve/startFront.js";
 import { startGauges } from "./startGauges.js";
 import { startMetricsListener } from "./startMetricsListener.js";
-import { askRelay } from "./store/askRelay.js";
 import { measureStore } from "./store/measureStore.js";
+import { queryRelay } from "./store/queryRelay.js";
 import type { TopicAnswer } from "./store/TopicAnswer.js";
 
-/** What a router needs from outside. */
+/** Settings and adapters that a router is built from. */
 type RouterParts = {
     readonly settings: RouterSettings;
     readonly store: StorePort;
@@ -52,23 +52,23 @@
 
 /** A running router. */
 type Router = {
-    /** Puts bounds and limits of new settings in force; names and addresses stay until a restart. */
+    /** Applies the time limits and other bounds of new settings. Names and addresses change only after a restart. */
     readonly reload: (settings: RouterSettings) => void;
-    /** Takes no new connections, lets requests that run finish, and ends all parts. */
+    /** Stops accepting connections, lets running requests finish, and stops all components. */
     readonly shutDown: () => Promise<void>;
 };
 
-/** Timers are late, and a request is some milliseconds on its way. */
+/** Allows for late timers and for the milliseconds that a request takes to arrive. */
 const KEY_MARGIN_MS = 600;
-/** A request may wait in the engine's queue before it begins. */
+/** Allows for the time that a request may wait in the engine's queue before it begins. */
 const WEIGHTS_MARGIN_MS = 1_500;
-/** In a first start, VMs have found the relays after so long, and the relays have read the store after a little longer. */
+/** Time after a first start by which VMs have found the relays, and by which the relays have read the store. */
 const RELAYS_FOUND_MS: Millis = 600;
 const RELAYS_READ_MS: Millis = 1_500;
-/** Between two ticks of the parts that watch the time; one timer for all wakes an idle VM least. */
+/** Interval of the ticks of all time-driven components. They share one timer, as that wakes an idle VM least often. */
 const TICK_MS = 100;
 
-/** Starts all parts of a router. */
+/** Starts all components of a router. */
 export async function startRouter(parts: RouterParts): Promise<Router> {
     const { settings, directory } = parts;
     const incarnation = randomUUID() as string as Incarnation;
@@ -84,12 +84,12 @@
     const agent = new EndpointAgent(clock.now, address => {
         const service = book.serviceAt(address);
         const declared = service === undefined ? undefined : knowledge.current().configuration?.services.get(service);
-        return keptConnections(declared?.maxConnections, membership.vms());
+        return maxIdleConnections(declared?.maxConnections, membership.vms());
     });
     const chains = createChainMemory(holder =>
         limitsOfHolder(knowledge.current().configuration, book.entryOf(holder as EndpointName))
     );
-    const held = { isDraining: false, settings };
+    const state = { isDraining: false, settings };
     const membership = createMembership(clock, {
         vm: settings.vm,
         incarnation,
@@ -99,25 +99,29 @@
     });
 
     const pauseWatch = createPauseWatch(clock, jumpMs => {
-        logger.warn({ jumpMs }, "The clocks moved apart: the process was suspended, or the time of day stepped.");
+        logger.warn(
+            { jumpMs },
+            "Monotonic and wall clock diverged: the process was suspended or the wall clock was stepped.",
+        );
         knowledge.pause();
         registry.pause();
         orders.tell({ kind: "paused" });
-        // Peers vouch again only once they send back a stamp from after the pause. Not at once, as it may be noticed while
-        // a round goes out.
+        // Confirmations by peers count only after they have echoed a timestamp from after the suspension, so send one
+        // soon. Deferred, because the suspension may be noticed while a round of beacons is being sent.
         setImmediate(() => beacons.sendNow());
     });
 
     const startedAt = clock.now();
     /**
-     * Load: all VMs start for the first time at once. Each waits until it knows the relays, and these have read what the
-     * others then ask them for.
+     * Returns whether this VM must still wait before its first read of the store. On a first start, all VMs start at
+     * once and would all read the store. Therefore each waits until it knows the relays, and the others until the
+     * relays have read what they will then be asked for.
      */
     const isHeld = (): boolean =>
         settings.isFirstStart && clock.now() - startedAt < (membership.isRelay() ? RELAYS_FOUND_MS : RELAYS_READ_MS);
-    const askTopic = async (topic: string, from: number | undefined): Promise<TopicAnswer | undefined> => {
+    const queryTopic = async (topic: string, from: number | undefined): Promise<TopicAnswer | undefined> => {
         const address = membership.isRelay() ? undefined : membership.relayAddress();
-        const answer = address === undefined ? undefined : await askRelay(agent, address, topic, from);
+        const answer = address === undefined ? undefined : await queryRelay(agent, address, topic, from);
         if (address !== undefined) {
             const end = answer === undefined ? "none" : "answered";
             metrics.count("azureshunt_relay_reads_total", "Reads that relays were asked for.", { topic, end });
@@ -135,14 +139,14 @@
         checkPause: pauseWatch.check,
         isReader: membership.isDomainReader,
         newsEveryMs: membership.newsEveryMs,
-        askRelay: askTopic,
+        askRelay: queryTopic,
         isHeld,
         onNews: () => {
             allowances.open(knowledge.current().configuration?.organisations.values() ?? []);
             beacons.sendNow();
         },
     });
-    const servesForMs = (): Millis => held.settings.weightsMs - WEIGHTS_MARGIN_MS;
+    const servesForMs = (): Millis => state.settings.weightsMs - WEIGHTS_MARGIN_MS;
     const othersLoad = createOthersLoad({
         clock,
         failureDomain: settings.failureDomain,
@@ -173,12 +177,13 @@
         book,
         logger: loggers("registry"),
         metrics,
-        leavingMs: () => held.settings.leavingMs,
+        leavingMs: () => state.settings.leavingMs,
         isReader: membership.isReader,
-        askRelay: askTopic,
+        askRelay: queryTopic,
         isHeld,
         checkPause: pauseWatch.check,
-        // Among many VMs beacons are further apart than reads; its word would come too late for them.
+        // With many VMs, beacons are less frequent than reads; a reader's next regular beacon would reach the others
+        // too late.
         onRead: () => membership.isReader() && membership.vms() > peerTiming.fewVms ? beacons.sendNow() : undefined,
     });
     const demand = createDemand(clock);
@@ -196,7 +201,7 @@
         checkPause: pauseWatch.check,
         servesForMs,
         demand: () => demand.rate() + membership.demand(),
-        leaseMs: () => held.settings.orderLeaseMs,
+        leaseMs: () => state.settings.orderLeaseMs,
         rank: lastHolder => membership.rank(lastHolder, knowledge.hasStore()),
         tellPeers: () => beacons.sendNow(),
     });
@@ -225,8 +230,8 @@
     });
 
     const bounds = (): FreshnessBounds => ({
-        keysMs: held.settings.keyWithdrawalMs - KEY_MARGIN_MS,
-        denialMs: held.settings.configurationMs,
+        keysMs: state.settings.keyWithdrawalMs - KEY_MARGIN_MS,
+        denialMs: state.settings.configurationMs,
     });
     const handler = createRequestHandler({
         clock,
@@ -237,7 +242,7 @@
         allowances,
         charges: createAllowanceQueue({ clock, allowances, later: (delayMs, run) => void setTimeout(run, delayMs) }),
         demand,
-        budgets: createRetryBudgets(() => held.settings.retries, () => membership.vms()),
+        budgets: createRetryBudgets(() => state.settings.retries, () => membership.vms()),
         quarantine,
         agent,
         callerWire: parts.callerWire,
@@ -248,10 +253,10 @@
         choosers: membership.vms,
         isQuiet: domain => membership.quietMs(domain) > 0,
         checkPause: pauseWatch.check,
-        isDraining: () => held.isDraining,
+        isDraining: () => state.isDraining,
     });
     const isReady = (): boolean =>
-        !held.isDraining && book.isKnown() && clock.now() - knowledge.current().confirmedAt < bounds().keysMs;
+        !state.isDraining && book.isKnown() && clock.now() - knowledge.current().confirmedAt < bounds().keysMs;
     const peerListener = await startPeerListener({
         address: settings.listen.peers,
         configuration: knowledge.raw,
@@ -292,9 +297,9 @@
     logger.info({ listen: settings.listen }, "Started.");
 
     const shutDown = async (): Promise<void> => {
-        held.isDraining = true;
+        state.isDraining = true;
         logger.info("Stopping.");
-        await front.drain(held.settings.stopMs);
+        await front.drain(state.settings.stopMs);
         [beacons, registry, knowledge].forEach(part => part.stop());
         clearInterval(timer);
         stopGauges();
@@ -307,10 +312,10 @@
     };
     const reload = (next: RouterSettings): void => {
         const isFixed = JSON.stringify(next.listen) === JSON.stringify(settings.listen) && next.vm === settings.vm;
-        held.settings = next;
+        state.settings = next;
         logger.info(
             { isFixed },
-            isFixed ? "Settings read again." : "Settings read again; names and addresses wait for a restart.",
+            isFixed ? "Settings reloaded." : "Settings reloaded; changes of names and addresses need a restart.",
         );
     };
     return { shutDown, reload };
--- a/packages/router/src/store/TopicAnswer.ts
+++ b/packages/router/src/store/TopicAnswer.ts
@@ -2,10 +2,10 @@
 
 import type { StorePage } from "../ports/StorePage.js";
 
-/** What a relay knows of a topic, for VMs of its failure domain. */
+/** A relay's copy of a topic's records, for the VMs of its failure domain. */
 export type TopicAnswer = StorePage & {
     /** Whether these are the newest records of all keys. */
     readonly isWhole: boolean;
-    /** How long ago the relay's knowledge was the store's, at most. */
+    /** Upper bound on the time since the relay's copy was current in the store. */
     readonly ageMs: Millis;
 };
--- a/packages/router/src/store/decodeTopicAnswer.ts
+++ b/packages/router/src/store/decodeTopicAnswer.ts
@@ -10,7 +10,7 @@
     records: z.array(z.tuple([z.number().int(), z.string(), z.string().nullable()])),
 });
 
-/** Reads a relay's answer; undefined where it is none. */
+/** Decodes a relay's answer; returns undefined if the body is not a valid one. */
 export function decodeTopicAnswer(body: Buffer): TopicAnswer | undefined {
     const answer = Answer.safeParse(jsonOf(body));
     if (!answer.success) {
--- a/packages/router/src/store/encodeTopicAnswer.ts
+++ b/packages/router/src/store/encodeTopicAnswer.ts
@@ -1,6 +1,6 @@
 import type { TopicAnswer } from "./TopicAnswer.js";
 
-/** Writes a relay's answer as JSON, values in base64. */
+/** Encodes a relay's answer as JSON with values in base64. */
 export function encodeTopicAnswer({ records, end, isWhole, ageMs }: TopicAnswer): Buffer {
     return Buffer.from(JSON.stringify({
         end,
--- a/packages/router/src/store/followTopic.ts
+++ b/packages/router/src/store/followTopic.ts
@@ -4,61 +4,66 @@
 import type { StorePort } from "../ports/StorePort.js";
 import type { TopicAnswer } from "./TopicAnswer.js";
 
-/** What is read of a topic. */
-type TopicNews = {
+/** Result of one read of a topic. */
+type TopicRead = {
     readonly records: StorePage["records"];
-    /** Whether these are the newest records of all keys, and not what came since the last read. */
+    /** Whether these are the newest records of all keys, rather than the records since the last read. */
     readonly isWhole: boolean;
-    /** What the read gives is at least as new as the store was at this moment. */
+    /** The records are at least as new as the store was at this time. */
     readonly asOf: Millis;
-    /** When the read was sent. */
+    /** When the read was sent, to the store or to a relay. */
     readonly askedAt: Millis;
     /** The offset of the next record. */
     readonly end: number;
-    /** Whether a relay answered in place of the store. */
+    /** Whether a relay answered instead of the store. */
     readonly isRelayed: boolean;
 };
 
-type FollowParts = {
+type FollowTopicParts = {
     readonly store: StorePort;
     readonly clock: Clock;
     readonly topic: string;
-    /** How long a read may wait for a record. */
+    /** How long a read may wait in the store for a record. */
     readonly waitMs: () => Millis;
-    /** In how many milliseconds the next read is due; 0 or less means now. Asked again and again until then. */
+    /** Time until the next read is due; 0 or less means now. Called repeatedly until then. */
     readonly dueInMs: () => Millis;
-    /** Asks a relay from an offset on, or for all; undefined where there is none, or it knows nothing fresh. */
+    /** Queries a relay from an offset on, or for all keys; `undefined` if there is no relay or it has no fresh copy. */
     readonly askRelay: (from: number | undefined) => Promise<TopicAnswer | undefined>;
-    /** Whether the first read still has to wait, as a relay may be found that answers it. */
+    /** Whether the first read must still wait, because a relay that can answer it may yet be found. */
     readonly isHeld: () => boolean;
-    readonly onNews: (news: TopicNews) => void;
+    /** Called with the result of every successful read. */
+    readonly onNews: (read: TopicRead) => void;
+    /** Called with the kind of failure of every failed read from the store. */
     readonly onFailure: (kind: string) => void;
 };
 
 /**
- * A read may become due earlier than it was said to be; so long passes at most until that is seen. Short beside the time
- * for which a leaving endpoint still takes requests, and long enough to cost an idle VM little.
+ * Upper bound on the time until a read that became due earlier than announced is noticed. Short compared with the time
+ * for which a leaving endpoint still takes requests, yet long enough to cost an idle VM little.
+ */
+const RECHECK_MS = 250;
+/**
+ * Delay between retries while the store does not answer. Outages last seconds, and requests with keys wait for its
+ * return.
  */
-const LOOK_AGAIN_MS = 250;
-/** Between tries while the store does not answer; it is away for seconds, and keys wait for it. */
 const RETRY_MS = 250;
 
 /**
- * Follows a topic of the store: first the newest record of each key, then what comes. A reader whose place has fallen
- * off the topic's start begins anew with the newest records; nothing is skipped.
+ * Follows a topic of the store: first reads the newest record of each key, then the records appended after them. If the
+ * next offset is no longer kept, the reader starts over with the newest record of each key, so that nothing is skipped.
  *
- * @returns a function that ends it
+ * @returns a function that stops following the topic
  */
-export function followTopic(parts: FollowParts): () => void {
+export function followTopic(parts: FollowTopicParts): () => void {
     const { store, clock, topic } = parts;
     const state = {
         isStopped: false,
-        isAnswering: true,
+        isStoreAnswering: true,
         next: undefined as number | undefined,
         timer: undefined as NodeJS.Timeout | undefined,
     };
 
-    const readWhole = async (): Promise<Millis> => {
+    const readNewest = async (): Promise<Millis> => {
         const askedAt = clock.now();
         const page = await store.newest(topic);
         return page.caseOf({
@@ -73,11 +78,11 @@
             },
         });
     };
-    const readOn = async (from: number): Promise<Millis> => {
+    const readFrom = async (from: number): Promise<Millis> => {
         const askedAt = clock.now();
-        // While the store does not answer, a read that waits would notice its return late, and keys would wait with it.
-        const page = await store.read(topic, from, state.isAnswering ? parts.waitMs() : 0);
-        state.isAnswering = page.isRight();
+        // While the store does not answer, a waiting read would notice its return late and delay requests with keys.
+        const page = await store.read(topic, from, state.isStoreAnswering ? parts.waitMs() : 0);
+        state.isStoreAnswering = page.isRight();
         return page.caseOf({
             Left: failure => {
                 state.next = failure.kind === "expired" ? undefined : from;
@@ -92,10 +97,11 @@
         });
     };
     /**
-     * Load: hundreds of VMs start, or hear of the same change, and each reads it in the store. A relay has read it already;
-     * what it gives is as old as it says, reckoned from when it was asked, and the store is read where it gives nothing.
+     * Reads from a relay if one has a fresh copy. When hundreds of VMs start or learn of the same change, each would
+     * read it from the store, although a relay has read it already. The records are as old as the relay says, measured
+     * from the time of the request. Returns false if the store has to be read.
      */
-    const readRelayed = async (): Promise<boolean> => {
+    const readFromRelay = async (): Promise<boolean> => {
         const askedAt = clock.now();
         const answer = await parts.askRelay(state.next);
         if (answer === undefined || state.isStopped) {
@@ -106,18 +112,18 @@
         parts.onNews({ records, end, isWhole, askedAt, asOf: askedAt - ageMs, isRelayed: true });
         return true;
     };
-    const readAny = async (): Promise<Millis> => {
-        if (await readRelayed()) {
+    const readNext = async (): Promise<Millis> => {
+        if (await readFromRelay()) {
             return 0;
         }
-        return state.next === undefined ? readWhole() : readOn(state.next);
+        return state.next === undefined ? readNewest() : readFrom(state.next);
     };
     const loop = async (): Promise<void> => {
-        const firstDueIn = parts.isHeld() ? LOOK_AGAIN_MS : 0;
-        const dueIn = state.next === undefined ? firstDueIn : parts.dueInMs();
-        const pause = dueIn > 0 ? Math.min(dueIn, LOOK_AGAIN_MS) : await readAny();
+        const firstDueInMs = parts.isHeld() ? RECHECK_MS : 0;
+        const dueInMs = state.next === undefined ? firstDueInMs : parts.dueInMs();
+        const delayMs = dueInMs > 0 ? Math.min(dueInMs, RECHECK_MS) : await readNext();
         if (!state.isStopped) {
-            state.timer = setTimeout(() => void loop(), pause);
+            state.timer = setTimeout(() => void loop(), delayMs);
         }
     };
     void loop();
--- a/packages/router/src/store/measureStore.ts
+++ b/packages/router/src/store/measureStore.ts
@@ -5,7 +5,9 @@
 import type { StoreFailure } from "../ports/StoreFailure.js";
 import type { StorePort } from "../ports/StorePort.js";
 
-/** Records how long the calls to a store take, and how they end. Reads that wait for a record are counted apart. */
+/**
+ * Wraps a store to record the duration and result of its calls. Reads that wait for a record are recorded separately.
+ */
 export function measureStore(store: StorePort, clock: Clock, metrics: Metrics): StorePort {
     const measured = async <Value>(
         call: string,
--- a/packages/router/src/store/askRelay.ts
+++ b/packages/router/src/store/queryRelay.ts
@@ -5,12 +5,19 @@
 import { decodeTopicAnswer } from "./decodeTopicAnswer.js";
 import type { TopicAnswer } from "./TopicAnswer.js";
 
-/** A relay is a millisecond away; one that is slow or gone must not hold up what the store can answer. */
-const ASK_MS: Millis = 250;
+/**
+ * A relay answers within about a millisecond. One that is slow or gone must not delay a read that the store can serve.
+ */
+const TIMEOUT_MS: Millis = 250;
 const OK = 200;
 
-/** Asks a relay for a topic, from an offset on or whole; undefined where it does not answer or knows nothing fresh. */
-export async function askRelay(
+/**
+ * Reads a topic from a relay instead of from the store.
+ *
+ * @param from offset of the first record; `undefined` for the newest record of every key
+ * @returns undefined if the relay does not answer or has no fresh copy
+ */
+export async function queryRelay(
     agent: EndpointAgent,
     address: string,
     topic: string,
@@ -18,6 +25,6 @@
 ): Promise<TopicAnswer | undefined> {
     const target = `/topics/${topic}${from === undefined ? "" : `?from=${from}`}`;
     const call = { method: "GET", target, headers: ["Host", address], body: Buffer.alloc(0) };
-    const res = await callOnce(agent, address, call, ASK_MS);
+    const res = await callOnce(agent, address, call, TIMEOUT_MS);
     return res.kind === "answer" && res.status === OK ? decodeTopicAnswer(res.body) : undefined;
 }
