--- a/packages/router/src/__tests__/unit/dispatch.test.ts
+++ b/packages/router/src/__tests__/unit/dispatch.test.ts
@@ -14,18 +14,18 @@
 const startEndpoint = async (
     answer: (socket: Socket, request: number) => void,
 ): Promise<{ readonly server: Server; readonly address: string; readonly connections: () => number; }> => {
-    const seen = { requests: 0, connections: 0 };
+    const counts = { requests: 0, connections: 0 };
     const server = createServer(socket => {
-        seen.connections += 1;
+        counts.connections += 1;
         socket.on("error", () => undefined);
         socket.on("data", () => {
-            seen.requests += 1;
-            answer(socket, seen.requests);
+            counts.requests += 1;
+            answer(socket, counts.requests);
         });
     });
     await new Promise<void>(resolve => server.listen(0, "127.0.0.1", resolve));
     const { port } = server.address() as AddressInfo;
-    return { server, address: `127.0.0.1:${port}`, connections: () => seen.connections };
+    return { server, address: `127.0.0.1:${port}`, connections: () => counts.connections };
 };
 
 const call = async (agent: EndpointAgent, address: string, headMs = 2_000, keptIdleMs = 10_000): Promise<string> => {
--- a/packages/router/src/__tests__/unit/topicMirror.test.ts
+++ b/packages/router/src/__tests__/unit/topicMirror.test.ts
@@ -9,7 +9,7 @@
 
 /** Values are equivalent if their first letters are equal. */
 const mirrorOf = (): Mirror => createTopicMirror((before, now) => before[0] === now[0]);
-const record = (offset: number, key: string, value?: string): TopicRecord => ({
+const recordOf = (offset: number, key: string, value?: string): TopicRecord => ({
     offset,
     key,
     value: value === undefined ? undefined : Buffer.from(value),
@@ -28,7 +28,7 @@
     readonly from: number | undefined;
     readonly answered: readonly string[];
 };
-const allRecords = [true, 5, [record(3, "a", "x1"), record(4, "b", "y1")]] as const;
+const allRecords = [true, 5, [recordOf(3, "a", "x1"), recordOf(4, "b", "y1")]] as const;
 const cases: readonly Case[] = [
     {
         name: "all records to a reader without any",
@@ -44,17 +44,17 @@
     },
     {
         name: "a changed record",
-        pages: [allRecords, [false, 6, [record(5, "a", "z1")]]],
+        pages: [allRecords, [false, 6, [recordOf(5, "a", "z1")]]],
         from: 5,
         answered: ["5 a z1"],
     },
     {
         name: "no record with an equivalent value",
-        pages: [allRecords, [false, 6, [record(5, "a", "x2")]]],
+        pages: [allRecords, [false, 6, [recordOf(5, "a", "x2")]]],
         from: 5,
         answered: [],
     },
-    { name: "a deleted key", pages: [allRecords, [false, 6, [record(5, "a")]]], from: 5, answered: ["5 a -"] },
+    { name: "a deleted key", pages: [allRecords, [false, 6, [recordOf(5, "a")]]], from: 5, answered: ["5 a -"] },
     {
         name: "a key that is missing from a later complete read, as deleted",
         pages: [allRecords, [true, 9, [allRecords[2][0]]]],
@@ -63,13 +63,13 @@
     },
     {
         name: "no deleted key to a reader without any record",
-        pages: [allRecords, [false, 6, [record(5, "a")]]],
+        pages: [allRecords, [false, 6, [recordOf(5, "a")]]],
         from: undefined,
         answered: ["4 b y1"],
     },
     {
         name: "the newer record if an older one is read after it",
-        pages: [allRecords, [false, 5, [record(2, "a", "w1")]]],
+        pages: [allRecords, [false, 5, [recordOf(2, "a", "w1")]]],
         from: undefined,
         answered: ["3 a x1", "4 b y1"],
     },
@@ -84,7 +84,7 @@
 });
 
 test("topic answer: an encoded answer is decoded to the same records", t => {
-    const answer = { records: [record(3, "a", "x"), record(4, "b")], end: 5, isWhole: true, ageMs: 12 };
+    const answer = { records: [recordOf(3, "a", "x"), recordOf(4, "b")], end: 5, isWhole: true, ageMs: 12 };
     t.deepEqual(decodeTopicAnswer(encodeTopicAnswer(answer)), answer);
 });
 [
--- a/packages/router/src/configuration/Organisation.ts
+++ b/packages/router/src/configuration/Organisation.ts
@@ -4,7 +4,7 @@
 export type Organisation = {
     readonly id: OrganisationId;
     readonly keys: readonly string[];
-    /** Overrides the route's priority. */
+    /** Compared before the route's priority. 0 is the most urgent; `undefined` counts as 0. */
     readonly priority: number | undefined;
     /** Whether it shares no cached prompt parts with other organisations. */
     readonly isIsolated: boolean;
--- a/packages/router/src/dispatch/failureOfOutcome.ts
+++ b/packages/router/src/dispatch/failureOfOutcome.ts
@@ -12,7 +12,7 @@
     silent: { kind: "silent" },
     failed: { kind: "failed" },
     garbled: { kind: "crossed" },
-    // As after silence, the endpoint ran part of the request and another one is asked for the rest.
+    // As after silence, the endpoint ran part of the request, and another one has to run the rest.
     moved: { kind: "silent" },
 };
 
--- a/packages/router/src/store/createTopicMirror.ts
+++ b/packages/router/src/store/createTopicMirror.ts
@@ -31,7 +31,7 @@
         const keys = new Set(records.map(({ key }) => key));
         const deletedKeys = isWhole ? [...state.records.keys()].filter(key => !keys.has(key)) : [];
         deletedKeys.forEach(key => state.records.set(key, { key, offset: end - 1, value: undefined }));
-        records.filter(isNewer).forEach(record => state.records.set(record.key, record));
+        records.filter(isNewer).forEach(newer => state.records.set(newer.key, newer));
         state.end = Math.max(end, state.end ?? 0);
     };
     const answer: TopicMirror["answer"] = from => {
