--- a/packages/router/src/__tests__/unit/admitRequest.test.ts
+++ b/packages/router/src/__tests__/unit/admitRequest.test.ts
@@ -6,7 +6,7 @@
 import { routingOf } from "../support/routingOf.js";
 
 const BOUNDS = { keysMs: 4_400, denialMs: 2_000 };
-const knowledge: Knowledge = {
+const declaredState: Knowledge = {
     ...noKnowledge,
     configuration: routingOf(3, [{ pathPrefix: "/x/" }, { pathPrefix: "/open/", isPublic: true }]),
     heardRevision: 3,
@@ -15,39 +15,58 @@
 
 type Case = {
     readonly name: string;
-    readonly knowledge?: Partial<Knowledge>;
+    readonly declaredState?: Partial<Knowledge>;
     readonly target?: string;
     readonly key?: string | undefined;
     readonly arrivedAt?: number;
     readonly outcome: string;
 };
 
-// A VM that hears nobody serves a withdrawn key on, or tells callers for good that a new route does not exist.
+// Guards against a VM that is cut off and still serves a withdrawn key, or tells callers for good that a route that was
+// added does not exist.
 const cases: readonly Case[] = [
-    { name: "a key that is valid", outcome: "org" },
-    { name: "no key on a public route", target: "/open/", key: undefined, outcome: "nobody" },
-    { name: "no key", key: undefined, outcome: "missing-key" },
-    { name: "a key that nobody has", key: "stranger", outcome: "unknown-key" },
-    { name: "a path without a route", target: "/y/", outcome: "not-found" },
-    { name: "knowledge just young enough", arrivedAt: 14_400, outcome: "org" },
-    { name: "knowledge too old for keys", arrivedAt: 14_401, outcome: "configuration-too-old" },
-    { name: "too old, on a public route", target: "/open/", arrivedAt: 90_000, outcome: "nobody" },
-    { name: "too old to deny a route", target: "/y/", arrivedAt: 12_001, outcome: "configuration-too-old" },
-    { name: "too old to deny a key", key: "stranger", arrivedAt: 12_001, outcome: "configuration-too-old" },
+    { name: "a valid key is admitted for its organisation", outcome: "org" },
+    { name: "a public route needs no key", target: "/open/", key: undefined, outcome: "nobody" },
+    { name: "a request without a key is refused", key: undefined, outcome: "missing-key" },
+    { name: "a key without an owner is refused", key: "stranger", outcome: "unknown-key" },
+    { name: "a path without a route is refused", target: "/y/", outcome: "not-found" },
+    { name: "declared state just fresh enough for keys is used", arrivedAt: 14_400, outcome: "org" },
+    { name: "declared state too old for keys is not used", arrivedAt: 14_401, outcome: "configuration-too-old" },
+    { name: "a public route is served on old declared state", target: "/open/", arrivedAt: 90_000, outcome: "nobody" },
     {
-        name: "a newer revision is known to exist",
+        name: "declared state too old to deny a route does not deny it",
         target: "/y/",
-        knowledge: { heardRevision: 4 },
+        arrivedAt: 12_001,
         outcome: "configuration-too-old",
     },
-    { name: "after a pause", knowledge: { confirmedAt: -Infinity }, outcome: "configuration-too-old" },
-    { name: "no configuration yet", knowledge: { configuration: undefined }, outcome: "no-configuration" },
+    {
+        name: "declared state too old to deny a key does not deny it",
+        key: "stranger",
+        arrivedAt: 12_001,
+        outcome: "configuration-too-old",
+    },
+    {
+        name: "a route is not denied if a newer revision is known to exist",
+        target: "/y/",
+        declaredState: { heardRevision: 4 },
+        outcome: "configuration-too-old",
+    },
+    {
+        name: "a key is not accepted after a suspension",
+        declaredState: { confirmedAt: -Infinity },
+        outcome: "configuration-too-old",
+    },
+    {
+        name: "a request before the first configuration is refused",
+        declaredState: { configuration: undefined },
+        outcome: "no-configuration",
+    },
 ];
 
 cases.forEach(each => {
     test(`admitRequest: ${each.name}`, t => {
         const outcome = admitRequest({
-            knowledge: { ...knowledge, ...each.knowledge },
+            declaredState: { ...declaredState, ...each.declaredState },
             request: {
                 host: "a.example",
                 target: each.target ?? "/x/1",
--- a/packages/router/src/__tests__/unit/allowedTries.test.ts
+++ b/packages/router/src/__tests__/unit/allowedTries.test.ts
@@ -2,7 +2,8 @@
 
 import { allowedTries } from "../../serve/allowedTries.js";
 
-// A try that reached nobody uses up the route's tries, and a request fails though sound engines stand by.
+// Guards against tries that reached no endpoint using up the route's tries, so that a request fails although healthy
+// engines are available.
 const cases: readonly (readonly [maxTries: number, notRun: number, allowed: number])[] = [
     [2, 0, 2],
     [2, 1, 3],
@@ -13,7 +14,7 @@
 ];
 
 cases.forEach(([maxTries, notRun, allowed]) => {
-    test(`allowedTries: of ${maxTries}, ${notRun} not run`, t => {
+    test(`allowedTries: a route with ${maxTries} tries, ${notRun} tries not run`, t => {
         t.is(allowedTries(maxTries, notRun), allowed);
     });
 });
--- a/packages/router/src/__tests__/unit/front.test.ts
+++ b/packages/router/src/__tests__/unit/callerServer.test.ts
@@ -26,15 +26,15 @@
     const [callers, ready] = await Promise.all([freePort(), freePort()]);
     const listen = { callers: `127.0.0.1:${callers}`, ready: `127.0.0.1:${ready}`, peers: "", metrics: "" };
     const release: (() => void)[] = [];
-    const seen = { requests: 0 };
-    const front = await startFront({
+    const handled = { requests: 0 };
+    const callerServer = await startFront({
         settings: {
             vm: VmId.parse("vm"),
             failureDomain: FailureDomain.parse("fd"),
             listen,
         } as unknown as RouterSettings,
         handler: async (_req, res) => {
-            seen.requests += 1;
+            handled.requests += 1;
             res.writeHead(200);
             res.write("begun");
             await new Promise<void>(resolve => release.push(resolve));
@@ -44,7 +44,7 @@
         limits: () => undefined,
         isReady: () => true,
     });
-    return { front, port: callers, release, seen };
+    return { callerServer, port: callers, release, handled };
 };
 
 const REQUEST = "GET / HTTP/1.1\r\nHost: x\r\n\r\n";
@@ -53,11 +53,11 @@
     port: number,
 ): Promise<{ readonly socket: Socket; readonly text: () => string; readonly closed: Promise<void>; }> =>
     new Promise(resolve => {
-        const got = { text: "" };
-        const socket = connect(port, "127.0.0.1", () => resolve({ socket, text: () => got.text, closed }));
+        const answer = { text: "" };
+        const socket = connect(port, "127.0.0.1", () => resolve({ socket, text: () => answer.text, closed }));
         const closed = new Promise<void>(done => socket.once("close", () => done()));
         socket.on("data", (data: Buffer) => {
-            got.text += data.toString();
+            answer.text += data.toString();
         });
         socket.on("error", () => undefined);
     });
@@ -82,20 +82,21 @@
     }
 };
 
-// A stopping VM takes a further request on an open connection, or cuts a running stream.
-test("front: in a stop a running stream ends whole, and its connection takes no further request", async t => {
-    const { front, port, release, seen } = await start();
+// Guards against a VM that accepts a further request on an open connection while it shuts down, or cuts off a running
+// stream.
+test("startCallerServer: a running stream completes during a shutdown, its connection takes no request", async t => {
+    const { callerServer, port, release, handled } = await start();
     const { socket, text, closed } = await open(port);
     socket.write(REQUEST);
     await until(() => text().includes("begun"));
-    const drained = front.drain(60_000);
-    // The listener is closed when the balancer sends nobody new; from then on no request is taken.
+    const drained = callerServer.drain(60_000);
+    // The listener is closed once the balancer sends no new connections; from then on no request is accepted.
     await untilRefused(port);
     release.forEach(each => each());
     await closed;
     socket.write(REQUEST);
     t.is(text().split("\r\n\r\n").slice(1).join("|"), "5\r\nbegun\r\n0|");
-    t.is(seen.requests, 1);
+    t.is(handled.requests, 1);
     await drained;
 });
 
@@ -106,18 +107,19 @@
         text: "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
     },
     {
-        name: "a chunk size that is none",
+        name: "an invalid chunk size",
         text: "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
     },
     { name: "a space before a header's colon", text: "GET / HTTP/1.1\r\nHost: x\r\nA : b\r\n\r\n" },
-    { name: "no HTTP", text: "what is this\r\n\r\n" },
+    { name: "text that is not HTTP", text: "what is this\r\n\r\n" },
 ];
 
-// Bytes in which two parsers see different requests are passed on, and an endpoint runs one that nobody sent.
+// Guards against forwarding bytes in which two parsers see different requests: an endpoint would run one that no caller
+// sent.
 malformed.forEach(({ name, text }) => {
-    test(`front: ${name} gets a 400 and the connection closes`, async t => {
-        const { front, port, release } = await start();
-        t.teardown(() => front.drain(0));
+    test(`startCallerServer: ${name} gets a 400 and the connection closes`, async t => {
+        const { callerServer, port, release } = await start();
+        t.teardown(() => callerServer.drain(0));
         const caller = await open(port);
         caller.socket.write(text);
         release.forEach(each => each());
--- a/packages/router/src/__tests__/unit/judgeHead.test.ts
+++ b/packages/router/src/__tests__/unit/judgeHead.test.ts
@@ -15,21 +15,30 @@
     weights: undefined,
 };
 
-// A late answer, or one of somebody on the way, passes for the endpoint's answer to this request.
+// Guards against taking a late answer, or one of an intermediary, for the endpoint's answer to this request.
 const cases: readonly (readonly [name: string, head: Partial<EndpointHead>, verdict: ReturnType<typeof judgeHead>])[] =
     [
-        ["its own success", {}, "pass"],
-        ["its own refusal by rule", { status: 404 }, "pass"],
-        ["another request's success", { requestId: "another" }, "garbled"],
-        ["another request's refusal", { requestId: "another", status: 503, isNotRun: true }, "garbled"],
-        ["no id", { requestId: undefined }, "garbled"],
-        ["no seal", { isSealed: false }, "garbled"],
-        ["encoded on the way", { isEncoded: true }, "garbled"],
-        ["its own failure", { status: 500 }, "failed"],
-        ["a failure without a seal", { status: 502, isSealed: false }, "garbled"],
-        ["not run, as it says", { status: 503, isSealed: false, requestId: undefined, isNotRun: true }, "refused"],
-        ["503 that does not say so", { status: 503 }, "failed"],
-        ["another endpoint at the address", { status: 421, isSealed: false, requestId: undefined }, "elsewhere"],
+        ["the endpoint's success is forwarded", {}, "forward"],
+        ["the endpoint's 404 is forwarded", { status: 404 }, "forward"],
+        ["a success of another request is garbled", { requestId: "another" }, "garbled"],
+        ["a refusal of another request is garbled", { requestId: "another", status: 503, isNotRun: true }, "garbled"],
+        ["an answer without an id is garbled", { requestId: undefined }, "garbled"],
+        ["a success without a seal is garbled", { isSealed: false }, "garbled"],
+        ["an answer encoded by an intermediary is garbled", { isEncoded: true }, "garbled"],
+        ["the endpoint's own error is a failure", { status: 500 }, "failed"],
+        ["an error without a seal is garbled", { status: 502, isSealed: false }, "garbled"],
+        ["an answer that guarantees that the request has not run is a refusal", {
+            status: 503,
+            isSealed: false,
+            requestId: undefined,
+            isNotRun: true,
+        }, "refused"],
+        ["a 503 without that guarantee is a failure", { status: 503 }, "failed"],
+        [
+            "a 421 means another endpoint at the address",
+            { status: 421, isSealed: false, requestId: undefined },
+            "elsewhere",
+        ],
     ];
 
 cases.forEach(([name, head, verdict]) => {
--- a/packages/router/src/__tests__/unit/priorityOf.test.ts
+++ b/packages/router/src/__tests__/unit/priorityOf.test.ts
@@ -4,16 +4,20 @@
 
 type Ranked = { readonly name: string; readonly organisation: number | undefined; readonly route: number; };
 
-// A short urgent prompt waits behind long ones, or goes before a higher organisation.
+// Guards against a short urgent prompt waiting behind long ones, or going before a request of a higher organisation.
 const ranked: readonly (readonly [first: Ranked, second: Ranked])[] = [
-    [{ name: "its urgent route", organisation: 1, route: 0 }, { name: "its other route", organisation: 1, route: 1 }],
-    [{ name: "the higher organisation", organisation: 0, route: 2 }, {
-        name: "a lower one",
+    [{ name: "an urgent route", organisation: 1, route: 0 }, {
+        name: "another route of the same organisation",
+        organisation: 1,
+        route: 1,
+    }],
+    [{ name: "a higher organisation", organisation: 0, route: 2 }, {
+        name: "an urgent route of a lower one",
         organisation: 1,
         route: 0,
     }],
     [{ name: "a public urgent route", organisation: undefined, route: 0 }, {
-        name: "a public other route",
+        name: "another public route",
         organisation: undefined,
         route: 1,
     }],
@@ -26,6 +30,6 @@
     });
 });
 
-test("priorityOf: however low a route is, it stays within its organisation's ranks", t => {
+test("priorityOf: the lowest route of an organisation goes before the most urgent route of a lower organisation", t => {
     t.true(priorityOf({ priority: 1 }, { priority: 7 }) < priorityOf({ priority: 2 }, { priority: 0 }));
 });
--- a/packages/router/src/__tests__/unit/requestNotes.test.ts
+++ b/packages/router/src/__tests__/unit/requestNotes.test.ts
@@ -11,7 +11,7 @@
 const sampled = ids.find(isSampled) ?? ids[0] as RequestId;
 const unsampled = ids.find(id => !isSampled(id)) ?? ids[0] as RequestId;
 
-/** Notes two decisions 5 ms apart, tells after the first of them or never, and gives the lines that were written. */
+/** Records two decisions 5 ms apart, flushes in between unless the request is ordinary; returns the lines written. */
 const linesOf = (id: RequestId, isOrdinary: boolean): readonly Line[] => {
     const lines: Line[] = [];
     const logger = pino({}, { write: text => lines.push(JSON.parse(text) as Line) });
@@ -21,17 +21,17 @@
     notes.add("Admitted.", { tokens: 3 });
     time.now += 5;
     if (!isOrdinary) {
-        notes.tell();
+        notes.flush();
     }
     notes.add("Ended.", {});
     return lines;
 };
 
-// The lines of a failed request's first decisions are missing, or those of all others are written.
+// Guards against losing the lines of a failed request's first decisions, and against writing the lines of all others.
 const cases = [
-    { name: "one that did not go well has all its lines, in order", id: unsampled, isOrdinary: false, count: 2 },
-    { name: "an ordinary one has none", id: unsampled, isOrdinary: true, count: 0 },
-    { name: "an ordinary one of the sample has them", id: sampled, isOrdinary: true, count: 2 },
+    { name: "a request that is not ordinary has all its lines, in order", id: unsampled, isOrdinary: false, count: 2 },
+    { name: "an ordinary request has no lines", id: unsampled, isOrdinary: true, count: 0 },
+    { name: "an ordinary request of the sample has all its lines", id: sampled, isOrdinary: true, count: 2 },
 ] as const;
 
 cases.forEach(({ name, id, isOrdinary, count }) => {
--- /dev/null
+++ b/packages/router/src/__tests__/unit/rolloutAndStreamPace.test.ts
@@ -0,0 +1,70 @@
+import test from "ava";
+
+import { rolloutOf } from "../../fleet/rolloutOf.js";
+import { createStreamPace } from "../../serve/createStreamPace.js";
+import { engineOf } from "../support/engineOf.js";
+
+const order = { version: 2, givenAt: 0, seenAt: 0, isOwn: true };
+
+const rollouts = [
+    {
+        name: "all engines are up to date: none is counted",
+        engines: [engineOf("e", { version: 2 })],
+        expected: { outdated: 0, ordered: 0, unreachable: 0 },
+    },
+    {
+        name: "an engine without an order is outdated",
+        engines: [engineOf("e", {})],
+        expected: { outdated: 1, ordered: 0, unreachable: 0 },
+    },
+    {
+        name: "an engine that carries out an order is ordered",
+        engines: [engineOf("e", { order })],
+        expected: { outdated: 1, ordered: 1, unreachable: 0 },
+    },
+    {
+        name: "an outdated engine that is down is unreachable, an up-to-date one is not counted",
+        engines: [engineOf("e", { isUp: false }), engineOf("e", { version: 2, isUp: false })],
+        expected: { outdated: 1, ordered: 0, unreachable: 1 },
+    },
+];
+
+rollouts.forEach(({ name, engines, expected }) => {
+    test(`rollout: ${name}`, t => {
+        t.deepEqual(rolloutOf(engines, 2), expected);
+    });
+});
+
+/** When each event arrived and when it had been written to the caller's connection, in milliseconds. */
+const paces = [
+    { name: "without events there is no gap and no wait", events: [], gapMs: 0, sendMs: 0 },
+    {
+        name: "a gap between two events is measured as such",
+        events: [[0, 1], [700, 701], [720, 721]],
+        gapMs: 700,
+        sendMs: 1,
+    },
+    {
+        name: "a wait for the caller's connection is measured as such",
+        events: [[0, 350], [20, 350], [40, 360]],
+        gapMs: 20,
+        sendMs: 350,
+    },
+] as const;
+
+paces.forEach(({ name, events, gapMs, sendMs }) => {
+    test(`stream pace: ${name}`, t => {
+        const clock = { now: 0 };
+        const pace = createStreamPace(() => clock.now);
+        const sendEnds = events.map(([at]) => {
+            clock.now = at;
+            return pace.startSend();
+        });
+        sendEnds.forEach((done, i) => {
+            clock.now = events[i]?.[1] ?? 0;
+            done();
+        });
+        t.is(pace.maxGapMs(), gapMs);
+        t.is(pace.maxSendMs(), sendMs);
+    });
+});
--- a/packages/router/src/__tests__/unit/statusOf.test.ts
+++ b/packages/router/src/__tests__/unit/statusOf.test.ts
@@ -4,7 +4,7 @@
 
 import { statusOf } from "../../serve/statusOf.js";
 
-// A status promises that a request has not run though a try may have, and its caller books twice.
+// Guards against a status that guarantees that a request has not run although a try may have: its caller books twice.
 const cases: readonly (readonly [ErrorKind, Ran, number])[] = [
     ["overloaded", "no", 503],
     ["overloaded", "maybe", 502],
--- a/packages/router/src/serve/FreshnessBounds.ts
+++ b/packages/router/src/serve/FreshnessBounds.ts
@@ -1,9 +1,9 @@
 import type { Millis } from "@azureshunt/core";
 
-/** How old knowledge of the configuration may be. */
+/** Maximum age of the configuration by what a request needs it for. */
 export type FreshnessBounds = {
-    /** A key that was withdrawn longer ago must not work any more. */
+    /** A key that was withdrawn longer ago must no longer be accepted. */
     readonly keysMs: Millis;
-    /** A route or key that was added longer ago must be known before a caller is told that there is none. */
+    /** A route or key that was added longer ago must be known before a caller is told that it does not exist. */
     readonly denialMs: Millis;
 };
--- a/packages/router/src/serve/ServeParts.ts
+++ b/packages/router/src/serve/ServeParts.ts
@@ -15,7 +15,7 @@
 import type { createRetryBudgets } from "./createRetryBudgets.js";
 import type { FreshnessBounds } from "./FreshnessBounds.js";
 
-/** What serving a request needs. */
+/** Dependencies of request handling. */
 export type ServeParts = {
     readonly clock: Clock;
     readonly random: () => number;
@@ -33,11 +33,11 @@
     readonly bounds: () => FreshnessBounds;
     readonly logger: Logger;
     readonly metrics: Metrics;
-    /** How many VMs choose among the endpoints, with this one. */
+    /** Number of VMs that place requests on the endpoints, including this one. */
     readonly choosers: () => number;
-    /** Whether a failure domain is out of hearing. */
+    /** Whether a failure domain is silent. */
     readonly isQuiet: (domain: FailureDomain) => boolean;
-    /** Looks for a pause of the process, after which nothing that was known counts. */
+    /** Checks whether the process was suspended; state received before a suspension is no longer valid. */
     readonly checkPause: () => void;
     readonly isDraining: () => boolean;
 };
--- a/packages/router/src/serve/ServedRequest.ts
+++ b/packages/router/src/serve/ServedRequest.ts
@@ -17,8 +17,8 @@
     readonly organisation: Organisation | undefined;
     readonly notes: ReturnType<typeof createRequestNotes>;
     readonly arrivedAt: Millis;
-    /** When the caller or the route gives up. */
-    readonly endsAt: Millis;
-    /** Aborted when the caller leaves or the time is up. */
+    /** The earlier of the caller's deadline and the route's timeout. */
+    readonly deadline: Millis;
+    /** Aborted when the caller disconnects or the deadline passes. */
     readonly signal: AbortSignal;
 };
--- a/packages/router/src/serve/StreamPace.ts
+++ b/packages/router/src/serve/StreamPace.ts
@@ -1,11 +1,15 @@
 import type { Millis } from "@azureshunt/core";
 
-/** How evenly a stream's events pass, over all its tries. */
+/** Timing of a stream's events, over all its tries. */
 export type StreamPace = {
-    /** An event has come and is handed to the caller's connection; gives the function to call once that has taken it. */
-    readonly passing: () => () => void;
+    /**
+     * Records an event that is written to the caller's connection; returns a function to call once it has been sent.
+     */
+    readonly startSend: () => () => void;
     /** Longest time between two events from an endpoint. */
-    readonly longestPauseMs: () => Millis;
-    /** Longest time that an event waited in this VM for the caller's connection: its link or its caller is slow. */
-    readonly longestSendMs: () => Millis;
+    readonly maxGapMs: () => Millis;
+    /**
+     * Longest time that an event waited in this VM for the caller's connection; long if the link or the caller is slow.
+     */
+    readonly maxSendMs: () => Millis;
 };
--- a/packages/router/src/serve/StreamProgress.ts
+++ b/packages/router/src/serve/StreamProgress.ts
@@ -1,8 +1,8 @@
 import type { StreamPace } from "./StreamPace.js";
 
-/** How far a stream has come at its caller, over all tries. Updated as events pass. */
+/** How much of a stream has been forwarded to its caller, over all tries. Updated with each event. */
 export type StreamProgress = {
-    passedEvents: number;
+    forwardedEvents: number;
     lastEventId: number | undefined;
     readonly pace: StreamPace;
 };
--- a/packages/router/src/serve/TryParts.ts
+++ b/packages/router/src/serve/TryParts.ts
@@ -3,7 +3,7 @@
 import type { StreamProgress } from "./StreamProgress.js";
 import type { TryPlace } from "./TryPlace.js";
 
-/** What one try of a request needs. */
+/** Inputs of one try of a request. */
 export type TryParts = {
     readonly parts: ServeParts;
     readonly served: ServedRequest;
--- a/packages/router/src/serve/TryResult.ts
+++ b/packages/router/src/serve/TryResult.ts
@@ -1,9 +1,9 @@
 import type { TryOutcome } from "../dispatch/TryOutcome.js";
 
-/** What one try came to. */
+/** Outcome of one try. */
 export type TryResult = {
     readonly kind: TryOutcome;
-    /** The endpoint's whole answer, where there is one that can go to the caller. */
+    /** The endpoint's complete answer; `undefined` if there is none that can still be sent to the caller. */
     readonly answer: {
         readonly status: number;
         readonly headers: readonly string[];
--- a/packages/router/src/serve/allowedTries.ts
+++ b/packages/router/src/serve/allowedTries.ts
@@ -1,16 +1,17 @@
-/** Further tries for endpoints that surely did not run the request. */
-const MOST_NOT_RUN = 2;
+/** Extra tries to make up for endpoints that certainly did not run the request. */
+const MAX_EXTRA_TRIES = 2;
 
 /**
- * Says how many tries a request may have in all.
+ * Returns how many tries a request may have in total.
  *
- * Load: an engine dies under its requests, their next try meets another one that has just died too. That try has reached
- * nobody, so it takes nothing from the route's limit, which counts endpoints that may have run the request. Two of them at
- * most are made up for, since a request that three endpoints turn away comes too late anyway.
+ * If an engine dies while it runs requests, their retries may meet another engine that has just died too. Such a try
+ * has reached no endpoint, so it does not count towards the route's limit, which is on endpoints that may have run the
+ * request. At most two of these tries are made up for, since a request that three endpoints refuse comes too late
+ * anyway.
  *
- * @param maxTries endpoints that the request may run on, by its route
- * @param notRun tries so far that surely did not run
+ * @param maxTries limit of the route on endpoints that may run the request
+ * @param notRun tries so far that certainly did not run the request
  */
 export function allowedTries(maxTries: number, notRun: number): number {
-    return maxTries + Math.min(MOST_NOT_RUN, notRun);
+    return maxTries + Math.min(MAX_EXTRA_TRIES, notRun);
 }
--- a/packages/router/src/serve/closingHeaders.ts
+++ b/packages/router/src/serve/closingHeaders.ts
@@ -1,6 +1,6 @@
 import type { ServeParts } from "./ServeParts.js";
 
-/** Headers that an answer bears besides: while the VM drains, each answer ends its connection. */
+/** Returns additional headers of an answer: while this VM drains, each answer closes the caller's connection. */
 export function closingHeaders({ isDraining }: Pick<ServeParts, "isDraining">): readonly string[] {
     return isDraining() ? ["Connection", "close"] : [];
 }
--- a/packages/router/src/serve/createRequestHandler.ts
+++ b/packages/router/src/serve/createRequestHandler.ts
@@ -16,25 +16,27 @@
 import type { ServedRequest } from "./ServedRequest.js";
 import type { ServeParts } from "./ServeParts.js";
 import { serveTries } from "./serveTries.js";
-import { watchEnding } from "./watchEnding.js";
+import { watchCancellation } from "./watchCancellation.js";
 
-/** Before the first configuration there is no limit to go by; nothing larger is read. */
-const FIRST_BODY_BYTES = 1024 * 1024;
-/** A colon and a space after each name, a line's end after each value. */
+/** Limit on bodies until the first configuration is known. */
+const DEFAULT_MAX_BODY_BYTES = 1024 * 1024;
+/** A colon and a space after each name, a line ending after each value. */
 const SEPARATOR_BYTES = 2;
 const OK = 200;
-/** Longest wait for an organisation's tokens. After a restart of all VMs there are some within half of it. */
-const LONGEST_ALLOWANCE_MS = 250;
-/** Part of a request's time that it may spend on that wait; the rest is for its answer. */
-const ALLOWANCE_PART = 0.25;
+/** Longest wait for an organisation's tokens. After a restart of all VMs, some are available within half of it. */
+const MAX_ALLOWANCE_WAIT_MS = 250;
+/** Fraction of a request's time that it may spend on that wait; the rest is for its answer. */
+const ALLOWANCE_WAIT_FRACTION = 0.25;
 
-/** A request that has been read whole. */
-type Received = Pick<ServedRequest, "caller" | "body" | "arrivedAt">;
+/** A request that has been read completely. */
+type CompleteRequest = Pick<ServedRequest, "caller" | "body" | "arrivedAt">;
 
-/** A request that is to be served, with what it takes of its organisation's allowance. */
-type Admitted = Pick<ServedRequest, "route" | "organisation" | "service" | "notes"> & { readonly tokens: Tokens; };
+/** An admitted request, with what it takes from its organisation's allowance. */
+type AdmittedRequest = Pick<ServedRequest, "route" | "organisation" | "service" | "notes"> & {
+    readonly tokens: Tokens;
+};
 
-/** What a request takes of its organisation's allowance. */
+/** Returns what a request takes from its organisation's allowance. */
 const tokensOf = ({ prompt }: CallerRequest, organisation: Organisation | undefined): Tokens => {
     if (organisation?.countsRequests === true) {
         return 1;
@@ -42,17 +44,17 @@
     return prompt === undefined ? organisation?.plainTokens ?? 0 : prompt.promptTokens + prompt.outputTokens;
 };
 
-/** What the request's head takes on the wire, as far as its first line and headers show. */
+/** Returns the size of a request's head on the wire, computed from its first line and headers. */
 const headerBytesOf = ({ method = "", url = "", rawHeaders }: IncomingMessage): number =>
     rawHeaders.reduce((sum, text) => sum + text.length + SEPARATOR_BYTES, method.length + url.length);
 
-/** Makes the function that serves each request of callers. */
+/** Creates the handler of callers' requests. */
 export function createRequestHandler(parts: ServeParts): (req: IncomingMessage, res: ServerResponse) => Promise<void> {
-    const { clock, knowledge, allowances, callerWire, metrics, logger } = parts;
+    const { clock, knowledge: declaredState, allowances, callerWire, metrics, logger } = parts;
 
     const refuse = (res: ServerResponse, refusal: Refusal, id: string | undefined, isClosing: boolean): void => {
         metrics.count("azureshunt_refusals_total", "Requests that were refused, by reason.", { reason: refusal.kind });
-        const { configuration, confirmedAt } = knowledge();
+        const { configuration, confirmedAt } = declaredState();
         logger.info({
             id,
             reason: refusal.kind,
@@ -60,7 +62,7 @@
             detail: refusal.detail,
             retryAfterSeconds: refusal.retryAfterSeconds,
             revision: configuration?.revision,
-            // How old the knowledge was by which it was decided; left out where nothing is confirmed.
+            // Age of the declared state that the decision used; omitted if none is confirmed.
             confirmedMs: confirmedAt === -Infinity ? undefined : Math.round(clock.now() - confirmedAt),
         }, "Refused.");
         sendRefusal(callerWire, res, refusal, isClosing || parts.isDraining());
@@ -68,15 +70,15 @@
 
     const finish = async (
         served: ServedRequest,
-        ending: ReturnType<typeof watchEnding>,
-        spent: number,
+        cancellation: ReturnType<typeof watchCancellation>,
+        chargedTokens: number,
     ): Promise<void> => {
         const end = await serveTries(parts, served);
-        ending.release();
+        cancellation.release();
         const { res, caller, organisation, notes } = served;
         const ran = end.kind === "refused" ? end.refusal.ran : end.kind === "cancelled" ? end.ran : "yes";
         if (ran === "no" && organisation !== undefined) {
-            allowances.refund(organisation, spent);
+            allowances.refund(organisation, chargedTokens);
         }
         metrics.record(
             "azureshunt_request_ms",
@@ -88,7 +90,7 @@
         );
         const isOrdinary = end.kind === "answered" && end.tries === 1 && !isServerError(end.answer?.status ?? OK);
         if (!isOrdinary) {
-            notes.tell();
+            notes.flush();
         }
         notes.add("Ended.", { end: end.kind, status: end.kind === "answered" ? end.answer?.status : undefined, ran });
         switch (end.kind) {
@@ -102,36 +104,36 @@
                 refuse(res, end.refusal, caller.id, false);
                 return;
             case "cancelled":
-                if (ending.isTimeUp()) {
+                if (cancellation.isDeadlineExceeded()) {
                     refuse(res, refusalOf("deadline-exceeded", undefined, { ran: end.ran }), caller.id, false);
                 }
         }
     };
 
-    /** Reads a request whole; undefined where it was refused. */
-    const receive = async (req: IncomingMessage, res: ServerResponse): Promise<Received | undefined> => {
+    /** Reads a complete request; resolves with `undefined` if it was refused. */
+    const readRequest = async (req: IncomingMessage, res: ServerResponse): Promise<CompleteRequest | undefined> => {
         const arrivedAt = clock.now();
         const decoded = callerWire.decode(req);
-        const limits = knowledge().configuration?.limits;
+        const limits = declaredState().configuration?.limits;
         if (headerBytesOf(req) > (limits?.headerBytes ?? Infinity)) {
             refuse(res, refusalOf("headers-too-large"), undefined, true);
             return undefined;
         }
-        const body = await readBody(req, limits?.bodyBytes ?? FIRST_BODY_BYTES);
-        // A body over its limit is refused before a head that cannot be read.
+        const body = await readBody(req, limits?.bodyBytes ?? DEFAULT_MAX_BODY_BYTES);
+        // If the body is over its limit and the head is malformed too, the body is the reason given.
         return body.chain(bytes => decoded.map(caller => ({ caller, body: bytes, arrivedAt }))).caseOf({
             Left: refusal => {
                 refuse(res, refusal, undefined, true);
                 return undefined;
             },
-            Right: received => received,
+            Right: request => request,
         });
     };
 
-    /** Decides by which route, for whom and out of which allowance a request is served; undefined where it was refused. */
-    const admit = ({ caller, arrivedAt }: Received, res: ServerResponse): Admitted | undefined => {
-        const question = { knowledge: knowledge(), request: caller, arrivedAt, bounds: parts.bounds() };
-        const admission = admitRequest(question).chain<Refusal, Admitted>(({ route, organisation }) => {
+    /** Selects the route, organisation and service of a request; `undefined` if it was refused. */
+    const admit = ({ caller, arrivedAt }: CompleteRequest, res: ServerResponse): AdmittedRequest | undefined => {
+        const query = { declaredState: declaredState(), request: caller, arrivedAt, bounds: parts.bounds() };
+        const admission = admitRequest(query).chain<Refusal, AdmittedRequest>(({ route, organisation }) => {
             const service = chooseService(route, parts.random());
             const tokens = tokensOf(caller, organisation);
             const notes = createRequestNotes(logger, clock, caller.id);
@@ -149,8 +151,8 @@
                 organisation: organisation?.id,
                 tokens,
                 deadlineMs: caller.deadlineMs,
-                revision: question.knowledge.configuration?.revision,
-                confirmedMs: Math.round(arrivedAt - question.knowledge.confirmedAt),
+                revision: query.declaredState.configuration?.revision,
+                confirmedMs: Math.round(arrivedAt - query.declaredState.confirmedAt),
             });
             return admitted;
         }).caseOf({
@@ -162,20 +164,21 @@
         });
     };
 
-    /** Takes a request's tokens from its organisation's allowance; false where it was refused. */
+    /** Takes a request's tokens from its organisation's allowance; resolves with `false` if it was refused. */
     const charge = async (
-        { caller, arrivedAt }: Received,
-        { organisation, tokens, notes }: Admitted,
+        { caller, arrivedAt }: CompleteRequest,
+        { organisation, tokens, notes }: AdmittedRequest,
         res: ServerResponse,
-        { endsAt, signal }: Pick<ServedRequest, "endsAt" | "signal">,
+        { deadline, signal }: Pick<ServedRequest, "deadline" | "signal">,
     ): Promise<boolean> => {
         if (organisation === undefined) {
             return true;
         }
-        const waitsUntil = arrivedAt + Math.min(LONGEST_ALLOWANCE_MS, (endsAt - arrivedAt) * ALLOWANCE_PART);
+        const waitsUntil = arrivedAt +
+            Math.min(MAX_ALLOWANCE_WAIT_MS, (deadline - arrivedAt) * ALLOWANCE_WAIT_FRACTION);
         const charged = await parts.charges.charge({ organisation, tokens, waitsUntil, signal });
         charged.ifLeft(refusal => {
-            notes.tell();
+            notes.flush();
             refuse(res, refusal, caller.id, false);
         });
         return charged.isRight();
@@ -183,22 +186,22 @@
 
     const serve = async (req: IncomingMessage, res: ServerResponse): Promise<void> => {
         parts.checkPause();
-        const received = await receive(req, res);
-        const admitted = received === undefined ? undefined : admit(received, res);
-        if (received === undefined || admitted === undefined) {
+        const request = await readRequest(req, res);
+        const admitted = request === undefined ? undefined : admit(request, res);
+        if (request === undefined || admitted === undefined) {
             return;
         }
-        const { caller, arrivedAt } = received;
+        const { caller, arrivedAt } = request;
         const { route, tokens } = admitted;
-        const endsAt = arrivedAt + Math.min(route.timeoutMs, caller.deadlineMs ?? route.timeoutMs);
-        const ending = watchEnding(res, endsAt - clock.now());
-        const isCharged = await charge(received, admitted, res, { endsAt, signal: ending.signal });
+        const deadline = arrivedAt + Math.min(route.timeoutMs, caller.deadlineMs ?? route.timeoutMs);
+        const cancellation = watchCancellation(res, deadline - clock.now());
+        const isCharged = await charge(request, admitted, res, { deadline, signal: cancellation.signal });
         if (!isCharged) {
-            ending.release();
+            cancellation.release();
             return;
         }
         parts.demand.note(caller.prompt?.promptTokens ?? 0);
-        await finish({ ...received, ...admitted, res, endsAt, signal: ending.signal }, ending, tokens);
+        await finish({ ...request, ...admitted, res, deadline, signal: cancellation.signal }, cancellation, tokens);
     };
 
     return async (req, res) => {
@@ -207,7 +210,7 @@
             await serve(req, res);
         }
         catch (err) {
-            logger.error({ err }, "A request ended by an error of this program.");
+            logger.error({ err }, "Request failed: internal error.");
             refuse(res, refusalOf("internal"), undefined, true);
         }
     };
--- a/packages/router/src/serve/createRequestNotes.ts
+++ b/packages/router/src/serve/createRequestNotes.ts
@@ -3,40 +3,40 @@
 
 import { isSampled } from "./isSampled.js";
 
-/** Collects the decisions on one request until it is known whether they are worth a line. */
+/** Buffers the log lines about one request until it is known whether they are to be written. */
 type RequestNotes = {
-    /** Notes a decision with the inputs that decided it. */
-    readonly add: (what: string, inputs: object) => void;
-    /** The request is not an ordinary one: what was noted is written, and what comes is written at once. */
-    readonly tell: () => void;
+    /** Records a decision with the inputs on which it is based. */
+    readonly add: (message: string, inputs: object) => void;
+    /** Called when the request is not an ordinary one: writes the buffered lines, and later ones at once. */
+    readonly flush: () => void;
 };
 
-type Note = { readonly what: string; readonly inputs: object; readonly afterMs: Millis; };
+type Note = { readonly message: string; readonly inputs: object; readonly afterMs: Millis; };
 
 /**
- * Starts the notes of a request.
+ * Creates the notes of a request.
  *
- * Load: thousands of requests a second, nearly all of them answered at their first try. Their lines would cost more than
- * serving them, and nobody reads them, but for a sample; the lines of the others must all be there. Which one it is shows
- * only later.
+ * With thousands of requests per second, nearly all of them answered at the first try, writing their lines would cost
+ * more than serving them, and nobody reads them except for a sample. The lines of all other requests must be complete,
+ * but which requests these are is known only after their first lines.
  */
 export function createRequestNotes(logger: Logger, clock: Clock, id: RequestId): RequestNotes {
     const startedAt = clock.now();
-    const state = { isTold: isSampled(id), held: [] as Note[] };
-    const write = ({ what, inputs, afterMs }: Note): void => logger.info({ id, afterMs, ...inputs }, what);
+    const state = { isFlushed: isSampled(id), buffered: [] as Note[] };
+    const write = ({ message, inputs, afterMs }: Note): void => logger.info({ id, afterMs, ...inputs }, message);
     return {
-        add: (what, inputs) => {
-            const note = { what, inputs, afterMs: Math.round(clock.now() - startedAt) };
-            if (state.isTold) {
+        add: (message, inputs) => {
+            const note = { message, inputs, afterMs: Math.round(clock.now() - startedAt) };
+            if (state.isFlushed) {
                 write(note);
                 return;
             }
-            state.held.push(note);
+            state.buffered.push(note);
         },
-        tell: () => {
-            state.isTold = true;
-            state.held.forEach(write);
-            state.held = [];
+        flush: () => {
+            state.isFlushed = true;
+            state.buffered.forEach(write);
+            state.buffered = [];
         },
     };
 }
--- a/packages/router/src/serve/createRetryBudgets.ts
+++ b/packages/router/src/serve/createRetryBudgets.ts
@@ -2,39 +2,39 @@
 import { earnRetry, fullRetryBudget, spendRetry } from "@azureshunt/request";
 import type { RetryBudget } from "@azureshunt/request";
 
-/** What all VMs together may send beyond the first try of each request. */
+/** Bounds on what all VMs together may send beyond the first try of each request. */
 type RetryLimits = {
-    /** Further tries for each request. */
+    /** Retries per request. */
     readonly ratio: number;
-    /** Further tries besides, in one window. */
+    /** Retries in addition, per window. */
     readonly slack: number;
 };
 
-/** One budget for each service. */
+/** One retry budget per service. */
 type RetryBudgets = {
     readonly of: (service: ServiceName) => RetryBudget;
-    /** Takes a further try ahead of the plan that uses it; false where there is none. */
+    /** Takes a retry from the budget ahead of the plan that uses it; `false` if there is none left. */
     readonly reserve: (service: ServiceName) => boolean;
-    /** Gives a try back that was taken ahead. */
+    /** Returns a reserved retry to the budget. */
     readonly release: (service: ServiceName) => void;
     readonly set: (service: ServiceName, budget: RetryBudget) => void;
-    /** A request for the service has arrived. */
+    /** Credits the budget for a request that has arrived. */
     readonly earn: (service: ServiceName) => void;
 };
 
-/** Part of the limits that is used: requests of one window are not spread evenly over the VMs. */
-const USED_PART = 0.7;
+/** Fraction of the limits that is used, as the requests of one window are not spread evenly over the VMs. */
+const USED_FRACTION = 0.7;
 
 /**
- * Keeps this VM's share of the further tries.
+ * Keeps this VM's share of the retries.
  *
- * @param vms how many VMs share the limits
+ * @param vms number of VMs that share the limits
  */
 export function createRetryBudgets(limits: () => RetryLimits, vms: () => number): RetryBudgets {
     const budgets = new Map<ServiceName, RetryBudget>();
-    const capacity = (): number => Math.max(1, limits().slack * USED_PART / vms());
+    const capacity = (): number => Math.max(1, limits().slack * USED_FRACTION / vms());
     const of: RetryBudgets["of"] = service => {
-        const budget = budgets.get(service) ?? fullRetryBudget(capacity(), limits().ratio * USED_PART);
+        const budget = budgets.get(service) ?? fullRetryBudget(capacity(), limits().ratio * USED_FRACTION);
         return { ...budget, capacity: capacity(), balance: Math.min(capacity(), budget.balance) };
     };
     const set: RetryBudgets["set"] = (service, budget) => {
--- a/packages/router/src/serve/createStreamPace.ts
+++ b/packages/router/src/serve/createStreamPace.ts
@@ -2,19 +2,19 @@
 
 import type { StreamPace } from "./StreamPace.js";
 
-/** Measures a stream's pace, so that a late event is found to have waited at its endpoint or in this VM. */
+/** Measures a stream's pace, to show whether a late event waited at its endpoint or in this VM. */
 export function createStreamPace(now: () => Millis): StreamPace {
-    const pace = { lastAt: undefined as Millis | undefined, pauseMs: 0, sendMs: 0 };
+    const pace = { lastAt: undefined as Millis | undefined, gapMs: 0, sendMs: 0 };
     return {
-        passing: () => {
+        startSend: () => {
             const at = now();
-            pace.pauseMs = Math.max(pace.pauseMs, at - (pace.lastAt ?? at));
+            pace.gapMs = Math.max(pace.gapMs, at - (pace.lastAt ?? at));
             pace.lastAt = at;
             return () => {
                 pace.sendMs = Math.max(pace.sendMs, now() - at);
             };
         },
-        longestPauseMs: () => pace.pauseMs,
-        longestSendMs: () => pace.sendMs,
+        maxGapMs: () => pace.gapMs,
+        maxSendMs: () => pace.sendMs,
     };
 }
--- a/packages/router/src/serve/passAnswer.ts
+++ b/packages/router/src/serve/forwardAnswer.ts
@@ -1,14 +1,14 @@
 import type { OpenedCall } from "../dispatch/OpenedCall.js";
 import { readAnswer } from "../dispatch/readAnswer.js";
 import { closingHeaders } from "./closingHeaders.js";
+import { forwardStream } from "./forwardStream.js";
 import { isRepeatable } from "./isRepeatable.js";
 import { isServerError } from "./isServerError.js";
-import { passStream } from "./passStream.js";
-import type { StreamSigns } from "./StreamSigns.js";
+import type { StreamHooks } from "./StreamHooks.js";
 import type { TryParts } from "./TryParts.js";
 import type { TryResult } from "./TryResult.js";
 
-/** Silence in mid-stream after which another endpoint goes on: twice the longest usual pause between events. */
+/** Silence in mid-stream after which another endpoint continues: twice the longest usual gap between events. */
 const STREAM_SILENCE_MS = 1_000;
 const SUCCESS = 200;
 
@@ -19,24 +19,24 @@
     }
 };
 
-/** Passes a stream's events to the caller as they come, and reads any other answer whole. */
-export async function passAnswer(
+/** Forwards a stream's events to the caller as they arrive, and reads any other answer completely. */
+export async function forwardAnswer(
     tryParts: TryParts,
     opened: Extract<OpenedCall, { readonly kind: "head"; }>,
-    seen: StreamSigns,
+    hooks: StreamHooks,
 ): Promise<TryResult> {
     const { served, progress, isLastTry, parts } = tryParts;
     const isStream = served.route.kind === "stream" || served.route.kind === "resumable-stream";
     if (isStream && opened.res.statusCode === SUCCESS) {
-        const canGoOn = isRepeatable(served.route.kind) && !isLastTry;
-        const kind = await passStream({
+        const canResume = isRepeatable(served.route.kind) && !isLastTry;
+        const kind = await forwardStream({
             served,
             opened,
             progress,
-            silenceMs: canGoOn ? STREAM_SILENCE_MS : undefined,
+            silenceMs: canResume ? STREAM_SILENCE_MS : undefined,
             sendHead: () => sendHead(tryParts, opened),
-            ...seen,
-            onMove: canGoOn ? seen.onMove : () => () => undefined,
+            ...hooks,
+            onMove: canResume ? hooks.onMove : () => () => undefined,
         });
         if (kind === "answered") {
             sendHead(tryParts, opened);
--- a/packages/router/src/serve/passStream.ts
+++ b/packages/router/src/serve/forwardStream.ts
@@ -3,30 +3,30 @@
 import type { OpenedCall } from "../dispatch/OpenedCall.js";
 import type { TryOutcome } from "../dispatch/TryOutcome.js";
 import type { ServedRequest } from "./ServedRequest.js";
+import type { StreamHooks } from "./StreamHooks.js";
 import type { StreamProgress } from "./StreamProgress.js";
-import type { StreamSigns } from "./StreamSigns.js";
 
-/** A stream that is silent for so many rounds is given up also where its endpoint lives: its connection is lost. */
-const BUSY_ROUNDS = 2;
+/** A stream is given up after this many silent intervals even if its endpoint is alive: its connection is lost. */
+const MAX_SILENT_INTERVALS = 2;
 
-type StreamParts = StreamSigns & {
+type StreamParts = StreamHooks & {
     readonly served: ServedRequest;
     readonly opened: Extract<OpenedCall, { readonly kind: "head"; }>;
     readonly progress: StreamProgress;
-    /** Silence after which the stream is gone on with elsewhere; undefined where it cannot be. */
+    /** Silence after which the stream continues at another endpoint; `undefined` if it cannot. */
     readonly silenceMs: number | undefined;
     /** Sends the head of the answer, before the first event. */
     readonly sendHead: () => void;
 };
 
 /**
- * Passes a stream's events to the caller as they come, whole and in order.
+ * Forwards a stream's events to the caller as they arrive, complete and in order.
  *
- * Failure: an endpoint stops in mid-event, or another one goes on and repeats an event or leaves one out; the caller
- * would read a text that no endpoint wrote. Guard: only whole events pass, and each id must follow the one before; the
- * stream ends as complete only if the endpoint ended it so.
+ * If an endpoint stops in mid-event, or another one continues the stream and repeats or omits an event, the caller
+ * would read a text that no endpoint generated. To prevent this, only complete events are forwarded, and each id must
+ * follow the one before; the stream ends as complete only if the endpoint ended it as such.
  */
-export function passStream(parts: StreamParts): Promise<TryOutcome> {
+export function forwardStream(parts: StreamParts): Promise<TryOutcome> {
     const { served, opened, progress } = parts;
     const { res } = opened;
     const splitter = createEventSplitter();
@@ -34,35 +34,35 @@
         const state = { timer: undefined as NodeJS.Timeout | undefined, isFirst: true };
         const settle = (kind: TryOutcome): void => {
             clearTimeout(state.timer);
-            release();
+            unregister();
             resolve(kind);
         };
-        const stop = (kind: TryOutcome): void => {
+        const endTry = (kind: TryOutcome): void => {
             settle(kind);
             res.destroy();
         };
-        const release = parts.onMove(() => stop("moved"));
-        const quiet = { rounds: 0 };
-        const onQuiet = (): void => {
-            quiet.rounds += 1;
-            if (parts.isAlive() && quiet.rounds < BUSY_ROUNDS) {
-                state.timer = setTimeout(onQuiet, parts.silenceMs);
+        const unregister = parts.onMove(() => endTry("moved"));
+        const silence = { intervals: 0 };
+        const onSilence = (): void => {
+            silence.intervals += 1;
+            if (parts.isAlive() && silence.intervals < MAX_SILENT_INTERVALS) {
+                state.timer = setTimeout(onSilence, parts.silenceMs);
                 return;
             }
-            stop("silent");
+            endTry("silent");
         };
-        const watch = (): void => {
+        const restartSilenceTimer = (): void => {
             clearTimeout(state.timer);
-            quiet.rounds = 0;
+            silence.intervals = 0;
             if (parts.silenceMs !== undefined) {
-                state.timer = setTimeout(onQuiet, parts.silenceMs);
+                state.timer = setTimeout(onSilence, parts.silenceMs);
             }
         };
         const isNext = (id: number | undefined): boolean =>
             id === undefined || progress.lastEventId === undefined || id === progress.lastEventId + 1;
-        const pass = (event: { readonly bytes: Buffer; readonly id: number | undefined; }): boolean => {
+        const forward = (event: { readonly bytes: Buffer; readonly id: number | undefined; }): boolean => {
             if (!isNext(event.id)) {
-                stop("garbled");
+                endTry("garbled");
                 return false;
             }
             if (state.isFirst) {
@@ -70,22 +70,22 @@
                 parts.onFirstEvent();
                 parts.sendHead();
             }
-            served.res.write(event.bytes, progress.pace.passing());
-            progress.passedEvents += 1;
+            served.res.write(event.bytes, progress.pace.startSend());
+            progress.forwardedEvents += 1;
             progress.lastEventId = event.id ?? progress.lastEventId;
             return true;
         };
-        watch();
+        restartSilenceTimer();
         res.on("data", (chunk: Buffer) => {
-            parts.sign();
-            watch();
-            splitter.push(chunk).every(pass);
+            parts.onActivity();
+            restartSilenceTimer();
+            splitter.push(chunk).every(forward);
         });
         res.on("error", () => settle(served.signal.aborted ? "cancelled" : "broken"));
         res.on("close", () => settle(served.signal.aborted ? "cancelled" : "broken"));
         res.on("end", () => {
-            const isWhole = endsWhole(opened) && splitter.rest() === 0;
-            settle(isWhole ? "answered" : "broken");
+            const isComplete = endsWhole(opened) && splitter.rest() === 0;
+            settle(isComplete ? "answered" : "broken");
         });
     });
 }
--- a/packages/router/src/serve/isRepeatable.ts
+++ b/packages/router/src/serve/isRepeatable.ts
@@ -1,6 +1,6 @@
 import type { RequestKind } from "../configuration/RequestKind.js";
 
-/** Whether requests of a kind may run more than once. */
+/** Returns whether requests of a kind may run more than once. */
 export function isRepeatable(kind: RequestKind): boolean {
     return kind === "idempotent" || kind === "resumable-stream";
 }
--- a/packages/router/src/serve/isSampled.ts
+++ b/packages/router/src/serve/isSampled.ts
@@ -1,10 +1,12 @@
 import type { RequestId } from "@azureshunt/core";
 
-/** One request in so many has its ordinary decisions logged; failed and refused ones always have. */
-const SAMPLE = 16;
-const BASE = 31;
+/** One request in 16 has its ordinary decisions logged; failed and refused requests always have theirs. */
+const SAMPLE_INTERVAL = 16;
+const HASH_MULTIPLIER = 31;
 
-/** Whether a request's ordinary decisions are logged: by its id, so that all VMs log the same requests. */
+/**
+ * Returns whether a request's ordinary decisions are logged. Depends on the id only, so that all VMs log the same ones.
+ */
 export function isSampled(id: RequestId): boolean {
-    return [...id].reduce((hash, char) => (hash * BASE + char.charCodeAt(0)) % SAMPLE, 0) === 0;
+    return [...id].reduce((hash, char) => (hash * HASH_MULTIPLIER + char.charCodeAt(0)) % SAMPLE_INTERVAL, 0) === 0;
 }
--- a/packages/router/src/serve/isServerError.ts
+++ b/packages/router/src/serve/isServerError.ts
@@ -1,6 +1,6 @@
 const FIRST_SERVER_ERROR = 500;
 
-/** Whether a status says that the server failed. */
+/** Returns whether a status reports a failure of the server. */
 export function isServerError(status: number): boolean {
     return status >= FIRST_SERVER_ERROR;
 }
--- a/packages/router/src/serve/judgeHead.ts
+++ b/packages/router/src/serve/judgeHead.ts
@@ -5,11 +5,14 @@
 
 const MISDIRECTED = 421;
 
-type HeadVerdict = "pass" | TryOutcome;
+type HeadVerdict = "forward" | TryOutcome;
 
 /**
- * Failure: an answer to another request arrives late on the connection, or something on the way answers for the endpoint.
- * Guard: an answer counts only if it names this request, and a success only with the endpoint's seal.
+ * Decides by the head of an answer whether it is forwarded to the caller, or how the try failed.
+ *
+ * An answer to another request may arrive late on the connection, or an intermediary may answer in place of the
+ * endpoint. To prevent such an answer from reaching the caller, an answer counts only if it names this request, and a
+ * success only with the endpoint's seal.
  */
 export function judgeHead(head: EndpointHead, served: Pick<ServedRequest, "caller">): HeadVerdict {
     if (head.requestId !== undefined && head.requestId !== served.caller.id) {
@@ -25,5 +28,5 @@
     if (isServerError(head.status)) {
         return isGenuine ? "failed" : "garbled";
     }
-    return isGenuine ? "pass" : "garbled";
+    return isGenuine ? "forward" : "garbled";
 }
--- a/packages/router/src/serve/priorityOf.ts
+++ b/packages/router/src/serve/priorityOf.ts
@@ -1,18 +1,21 @@
 import type { Organisation } from "../configuration/Organisation.js";
 import type { Route } from "../configuration/Route.js";
 
-/** Ranks of routes that are told apart within one rank of organisations: endpoints take ten ranks in all. */
-const ROUTE_RANKS = 3;
+/** Route priorities that are distinguished within one organisation priority; endpoints accept ten ranks in total. */
+const RANKS_PER_ORGANISATION = 3;
 
 /**
- * Ranks a request for the endpoint that runs it, 0 first: by its organisation, and within that by its route.
+ * Returns the rank of a request for the endpoint that runs it, 0 first: by its organisation, and within that by its
+ * route.
  *
- * Load: short prompts of an urgent kind wait in an engine's queue behind prompts of ten thousand tokens, each of which
- * takes 100 ms to read. Where all organisations have a rank of their own, going by that alone makes all requests alike.
+ * Short prompts of an urgent kind would otherwise wait in an engine's queue behind prompts of ten thousand tokens, each
+ * of which takes 100 ms to prefill. If every organisation has a rank of its own, that rank alone does not distinguish
+ * them.
  */
 export function priorityOf(
     organisation: Pick<Organisation, "priority"> | undefined,
     route: Pick<Route, "priority">,
 ): number {
-    return (organisation?.priority ?? 0) * ROUTE_RANKS + Math.min(ROUTE_RANKS - 1, route.priority);
+    return (organisation?.priority ?? 0) * RANKS_PER_ORGANISATION +
+        Math.min(RANKS_PER_ORGANISATION - 1, route.priority);
 }
--- a/packages/router/src/serve/reachableStore.ts
+++ b/packages/router/src/serve/reachableStore.ts
@@ -2,7 +2,7 @@
 
 import type { ServeParts } from "./ServeParts.js";
 
-/** Gives the store of cached parts, where the configuration has one and it can be reached. */
+/** Returns the cache store; `undefined` if none is configured or its failure domain is silent. */
 export function reachableStore(
     parts: Pick<ServeParts, "knowledge" | "isQuiet">,
 ): { readonly address: string; readonly failureDomain: FailureDomain; } | undefined {
--- a/packages/router/src/serve/runTry.ts
+++ b/packages/router/src/serve/runTry.ts
@@ -1,28 +1,31 @@
 import type { Millis } from "@azureshunt/core";
 
 import { openCall } from "../dispatch/openCall.js";
+import { forwardAnswer } from "./forwardAnswer.js";
+import { headTimeout } from "./headTimeout.js";
 import { isRepeatable } from "./isRepeatable.js";
 import { judgeHead } from "./judgeHead.js";
-import { passAnswer } from "./passAnswer.js";
 import { priorityOf } from "./priorityOf.js";
 import { reachableStore } from "./reachableStore.js";
 import { shouldMove } from "./shouldMove.js";
-import { silenceBound } from "./silenceBound.js";
 import type { TryParts } from "./TryParts.js";
 import type { TryResult } from "./TryResult.js";
 import { watchOrders } from "./watchOrders.js";
 
 /**
- * Longest idle time of a kept connection that carries what may run only once. An endpoint that has gone dark, or a
- * connection that is lost on the way, shows only when it is used, and then the request is lost; opening a new one costs a
- * round trip and proves that the endpoint lives.
+ * Longest idle time of a connection that is reused for a request that may run only once. That an endpoint has stopped
+ * responding, or that a connection is lost, shows only when the connection is used, and then the request is lost.
+ * Opening a new connection costs a round trip and proves that the endpoint is alive.
  */
-const ONCE_KEPT_MS = 250;
-const KEPT_MS = 12_000;
-/** Least time that is given to an endpoint's first sign of life before it counts as overdue. */
-const OVERDUE_AFTER_MS = 350;
+const NOT_REPEATABLE_MAX_IDLE_MS = 250;
+const MAX_IDLE_MS = 12_000;
+/** Minimum time that an endpoint has for its first activity before it counts as overdue. */
+const MIN_EXPECTED_MS = 350;
 
-/** What the store has been given by any VM is not given again: each copy takes part of its link. */
+/**
+ * Returns the address of the cache store if the endpoint should save the prompt's parts there. Parts that the store
+ * already has from any VM are not saved again, as each copy takes part of its link.
+ */
 const storeToSaveTo = ({ parts, place }: TryParts): string | undefined => {
     const shared = place.chain.slice(0, -1).reduce((sum, { tokens }) => sum + tokens, 0);
     return place.chain.length === 0 || place.storedTokens >= shared ? undefined : reachableStore(parts)?.address;
@@ -49,13 +52,13 @@
     });
 };
 
-const later = (delayMs: Millis, run: () => void): () => void => {
+const schedule = (delayMs: Millis, run: () => void): () => void => {
     const timer = setTimeout(run, delayMs);
     return () => clearTimeout(timer);
 };
 
-/** Takes a further try for a stream that is to leave its engine; false where it stays. */
-const takeMove = ({ parts, served, place, progress }: TryParts): boolean => {
+/** Reserves a retry for a stream that is to leave its engine; `false` if it stays. */
+const reserveMove = ({ parts, served, place, progress }: TryParts): boolean => {
     const { prompt } = served.caller;
     const others = prompt === undefined
         ? []
@@ -65,31 +68,31 @@
     const isMoving = shouldMove({
         promptTokens: prompt?.promptTokens ?? 0,
         outputTokens: prompt?.outputTokens ?? 0,
-        passedEvents: progress.passedEvents,
+        forwardedEvents: progress.forwardedEvents,
         budget: parts.budgets.of(served.service).balance,
-        others: others.length,
+        otherEngines: others.length,
     });
     return isMoving && parts.budgets.reserve(served.service);
 };
 
-/** Sends a request to one endpoint and, where it is a stream, passes its events on. */
+/** Sends a request to one endpoint and, if it is a stream, forwards its events to the caller. */
 export async function runTry(tryParts: TryParts): Promise<TryResult> {
     const { parts, served, place, progress, isLastTry } = tryParts;
-    const { clock, book, chains } = parts;
+    const { clock, book: endpointTable, chains: prefixIndex } = parts;
     const startedAt = clock.now();
-    const remainingMs = served.endsAt - startedAt;
+    const remainingMs = served.deadline - startedAt;
     const { kind, objectiveMs } = served.route;
     const saveTo = storeToSaveTo(tryParts);
-    const seat = book.begin(place.entry.name, {
+    const inFlight = endpointTable.begin(place.entry.name, {
         missingTokens: place.missingTokens,
         memoryTokens: place.memoryTokens,
-        expectedMs: Math.max(OVERDUE_AFTER_MS, place.startMs + objectiveMs),
+        expectedMs: Math.max(MIN_EXPECTED_MS, place.startMs + objectiveMs),
     });
     const times = { headMs: undefined as Millis | undefined, firstEventMs: undefined as Millis | undefined };
     const finish = (result: TryResult): TryResult => {
-        seat.end(result.kind);
+        inFlight.end(result.kind);
         if (result.kind !== "answered") {
-            served.notes.tell();
+            served.notes.flush();
         }
         served.notes.add("Try ended.", {
             endpoint: place.entry.name,
@@ -101,9 +104,9 @@
             missingTokens: place.missingTokens,
             running: place.running,
             weights: place.weights,
-            events: progress.passedEvents,
-            longestPauseMs: Math.round(progress.pace.longestPauseMs()),
-            longestSendMs: Math.round(progress.pace.longestSendMs()),
+            events: progress.forwardedEvents,
+            longestPauseMs: Math.round(progress.pace.maxGapMs()),
+            longestSendMs: Math.round(progress.pace.maxSendMs()),
             isLastTry,
         });
         parts.metrics.count("azureshunt_tries_total", "Tries at endpoints by how they ended.", {
@@ -117,19 +120,19 @@
         target: served.caller.target,
         headers: headersFor(tryParts, remainingMs, saveTo),
         body: served.body,
-        keptIdleMs: isRepeatable(kind) ? KEPT_MS : ONCE_KEPT_MS,
-        headMs: silenceBound(kind, objectiveMs, place.startMs, remainingMs, isLastTry),
-        // A busy engine has the request in its queue; asking another one would only make both busier.
-        isAlive: served.caller.prompt === undefined ? undefined : seat.isAlive,
+        keptIdleMs: isRepeatable(kind) ? MAX_IDLE_MS : NOT_REPEATABLE_MAX_IDLE_MS,
+        headMs: headTimeout(kind, objectiveMs, place.startMs, remainingMs, isLastTry),
+        // A busy engine has the request in its queue; sending it to another one would only make both busier.
+        isAlive: served.caller.prompt === undefined ? undefined : inFlight.isAlive,
     }, served.signal);
     if (opened.kind !== "head") {
         return finish({ kind: opened.kind, answer: undefined });
     }
-    seat.sign();
+    inFlight.sign();
     times.headMs = Math.round(clock.now() - startedAt);
     const head = parts.endpointWire.decodeHead(opened.res);
     if (head.weights !== undefined) {
-        book.sawWeights(place.entry.name, head.weights);
+        endpointTable.sawWeights(place.entry.name, head.weights);
     }
     const verdict = judgeHead(head, served);
     if (verdict === "garbled") {
@@ -140,24 +143,24 @@
         opened.res.resume();
         return finish({ kind: verdict, answer: undefined });
     }
-    const noteRead = (): void => {
+    const recordPrefill = (): void => {
         times.firstEventMs = Math.round(clock.now() - startedAt);
-        seat.answering();
-        chains.note(place.entry.name, place.chain, clock.now());
+        inFlight.answering();
+        prefixIndex.note(place.entry.name, place.chain, clock.now());
         if (saveTo !== undefined) {
-            chains.note(saveTo, place.chain, clock.now());
+            prefixIndex.note(saveTo, place.chain, clock.now());
         }
     };
     return finish(
-        await passAnswer(tryParts, opened, {
-            onFirstEvent: noteRead,
-            sign: seat.sign,
-            isAlive: seat.isAlive,
+        await forwardAnswer(tryParts, opened, {
+            onFirstEvent: recordPrefill,
+            onActivity: inFlight.sign,
+            isAlive: inFlight.isAlive,
             onMove: move =>
                 watchOrders({
-                    onOrdered: listener => book.onOrdered(place.entry.name, listener),
-                    later,
-                    takesMove: () => takeMove(tryParts),
+                    onOrdered: listener => endpointTable.onOrdered(place.entry.name, listener),
+                    schedule,
+                    reserveMove: () => reserveMove(tryParts),
                 }, move),
         }),
     );
--- a/packages/router/src/serve/sendRefusal.ts
+++ b/packages/router/src/serve/sendRefusal.ts
@@ -6,9 +6,9 @@
 import { statusOf } from "./statusOf.js";
 
 /**
- * Answers a request with a refusal. A stream that has begun is cut off instead, so that it cannot be taken for whole.
+ * Answers a request with a refusal. A stream that has begun is cut off instead, so that it cannot pass for complete.
  *
- * @param isClosing whether the connection ends with this answer
+ * @param isClosing whether the connection is closed after this answer
  */
 export function sendRefusal(wire: CallerWire, res: ServerResponse, refusal: Refusal, isClosing: boolean): void {
     if (res.headersSent || res.destroyed) {
--- a/packages/router/src/serve/serveTries.ts
+++ b/packages/router/src/serve/serveTries.ts
@@ -17,10 +17,10 @@
 import type { TryPlace } from "./TryPlace.js";
 import type { TryResult } from "./TryResult.js";
 
-/** Tries left in the budget below which none is begun for mere silence. */
-const ENOUGH_BUDGET = 2;
-/** A place that frees or an endpoint that comes back is worth asking for again after so long, in seconds. */
-const COME_BACK_SECONDS = 0.25;
+/** Retries left in the budget below which silence alone does not start one. */
+const MIN_BUDGET_FOR_SILENCE = 2;
+/** After this time a caller may retry: an endpoint may have room or be back by then. */
+const RETRY_AFTER_SECONDS = 0.25;
 const MS_PER_SECOND = 1_000;
 
 /** How serving a request ended. */
@@ -29,44 +29,44 @@
     | { readonly kind: "refused"; readonly refusal: Refusal; }
     | { readonly kind: "cancelled"; readonly ran: RequestState["ran"]; };
 
-/** Whether no route to the same service has a more urgent priority. */
+/** Returns whether no route to the same service has a more urgent priority. */
 const isUrgent = (parts: ServeParts, { route, service }: ServedRequest): boolean =>
     (parts.knowledge().configuration?.routes ?? [])
         .filter(other => other.targets.some(target => target.service === service))
         .every(other => other.priority >= route.priority);
 
-type Progress = {
+type RequestProgress = {
     readonly request: RequestState;
     readonly avoid: ReadonlySet<EndpointName>;
-    /** Tries that surely did not run. */
+    /** Tries that certainly did not run. */
     readonly notRun: number;
-    /** An endpoint's own failure; it goes to the caller if nothing better comes. */
+    /** An endpoint's own error; it is sent to the caller if no better answer follows. */
     readonly failure: TryResult["answer"];
 };
 
-const NOT_RUN: ReadonlySet<TryOutcome> = new Set(["unreached", "refused", "elsewhere"]);
+const NOT_RUN_OUTCOMES: ReadonlySet<TryOutcome> = new Set(["unreached", "refused", "elsewhere"]);
 
 const ranAfter = (kind: TryOutcome, before: RequestState["ran"]): RequestState["ran"] =>
-    NOT_RUN.has(kind) ? before : "maybe";
+    NOT_RUN_OUTCOMES.has(kind) ? before : "maybe";
 
-/** Serves a request by one try after the other, until it is answered or a further try is ruled out. */
+/** Serves a request by one try after another, until it is answered or no retry is possible. */
 export async function serveTries(parts: ServeParts, served: ServedRequest): Promise<ServedEnd> {
     const stream: StreamProgress = {
-        passedEvents: 0,
+        forwardedEvents: 0,
         lastEventId: served.caller.lastEventId,
         pace: createStreamPace(parts.clock.now),
     };
 
-    const give = (progress: Progress, refusal: Refusal): ServedEnd =>
-        progress.failure === undefined || stream.passedEvents > 0
+    const giveUp = (progress: RequestProgress, refusal: Refusal): ServedEnd =>
+        progress.failure === undefined || stream.forwardedEvents > 0
             ? { kind: "refused", refusal }
             : { kind: "answered", answer: progress.failure, tries: progress.request.tries };
 
-    const next = async (progress: Progress): Promise<ServedEnd> => {
+    const startTry = async (progress: RequestProgress): Promise<ServedEnd> => {
         parts.checkPause();
         if (parts.quarantine.isStopped(served)) {
             const { ran } = progress.request;
-            return give(
+            return giveUp(
                 progress,
                 refusalOf(ran === "no" ? "request-quarantined" : "endpoint-failed", undefined, { ran }),
             );
@@ -74,8 +74,12 @@
         const place = placeRequest(parts, served, progress.avoid);
         if (place === undefined) {
             const ran = progress.request.ran;
-            const kind = stream.passedEvents > 0 ? "stream-broken" : ran === "no" ? "no-endpoint" : "endpoint-failed";
-            return give(progress, refusalOf(kind, undefined, { retryAfterSeconds: COME_BACK_SECONDS, ran }));
+            const kind = stream.forwardedEvents > 0
+                ? "stream-broken"
+                : ran === "no"
+                ? "no-endpoint"
+                : "endpoint-failed";
+            return giveUp(progress, refusalOf(kind, undefined, { retryAfterSeconds: RETRY_AFTER_SECONDS, ran }));
         }
         const { request } = progress;
         served.notes.add("Endpoint chosen.", {
@@ -86,9 +90,9 @@
             source: place.source,
             weights: place.weights,
             running: place.running,
-            candidates: place.candidates,
+            candidates: place.candidateCount,
         });
-        const waitMs = served.caller.prompt === undefined || stream.passedEvents > 0
+        const waitMs = served.caller.prompt === undefined || stream.forwardedEvents > 0
             ? undefined
             : overloadWait({
                 queueMs: place.queueMs,
@@ -97,20 +101,20 @@
                 isUrgent: isUrgent(parts, served),
             });
         if (waitMs !== undefined) {
-            const retryAfterSeconds = Math.max(COME_BACK_SECONDS, waitMs / MS_PER_SECOND);
+            const retryAfterSeconds = Math.max(RETRY_AFTER_SECONDS, waitMs / MS_PER_SECOND);
             const kind = request.ran === "no" ? "overloaded" : "endpoint-failed";
             const detail = `best endpoint ${place.entry.name}: turn in ${Math.round(place.queueMs)} ms, `
                 + `first token in ${Math.round(place.startMs)} ms, objective ${served.route.objectiveMs} ms`;
-            return give(progress, refusalOf(kind, detail, { retryAfterSeconds, ran: request.ran }));
+            return giveUp(progress, refusalOf(kind, detail, { retryAfterSeconds, ran: request.ran }));
         }
-        // Where no further try may be made, silence is waited out: giving up would only lose the answer.
-        const hasBudget = parts.budgets.of(served.service).balance >= ENOUGH_BUDGET;
+        // If no retry is possible, the try waits out silence: giving up would only lose the answer.
+        const hasBudget = parts.budgets.of(served.service).balance >= MIN_BUDGET_FOR_SILENCE;
         const isLastTry = request.tries + 1 >= allowedTries(served.route.maxTries, progress.notRun) || !hasBudget;
         const result = await runTry({ parts, served, place, progress: stream, isLastTry });
-        return after(progress, place, result);
+        return afterTry(progress, place, result);
     };
 
-    const after = async (progress: Progress, place: TryPlace, result: TryResult): Promise<ServedEnd> => {
+    const afterTry = async (progress: RequestProgress, place: TryPlace, result: TryResult): Promise<ServedEnd> => {
         const { request } = progress;
         if (result.kind === "broken") {
             await parts.quarantine.broke(served, place.entry);
@@ -124,15 +128,15 @@
         const tried: RequestState = {
             ...request,
             tries: request.tries + 1,
-            next: stream.passedEvents,
+            next: stream.forwardedEvents,
             ran: ranAfter(result.kind, request.ran),
         };
         if (result.kind === "moved") {
-            // Its further try was taken when it left, so that many streams that leave at once do not use up the budget.
+            // Its retry was reserved when it left, so that many streams that leave at once do not use up the budget.
             parts.budgets.release(served.service);
         }
         const failure = result.answer ?? progress.failure;
-        const notRun = progress.notRun + (NOT_RUN.has(result.kind) ? 1 : 0);
+        const notRun = progress.notRun + (NOT_RUN_OUTCOMES.has(result.kind) ? 1 : 0);
         const maxTries = allowedTries(served.route.maxTries, notRun);
         const budget = parts.budgets.of(served.service);
         const plan = planAfterFailure(tried, failureOfOutcome(result.kind), budget, parts.clock.now(), {
@@ -144,27 +148,27 @@
             tries: tried.tries,
             maxTries,
             budget: Math.floor(budget.balance),
-            passedEvents: stream.passedEvents,
+            passedEvents: stream.forwardedEvents,
             reason: plan.kind === "answer" ? plan.refusal.kind : undefined,
         });
         if (plan.kind === "answer") {
-            return give({ ...progress, failure }, {
+            return giveUp({ ...progress, failure }, {
                 ...plan.refusal,
                 ran: tried.ran,
-                retryAfterSeconds: COME_BACK_SECONDS,
+                retryAfterSeconds: RETRY_AFTER_SECONDS,
             });
         }
         parts.budgets.set(served.service, plan.budget);
         parts.metrics.count("azureshunt_retries_total", "Further tries by what ended the one before.", {
             after: result.kind,
         });
-        return next({ request: tried, avoid: new Set([...progress.avoid, place.entry.name]), notRun, failure });
+        return startTry({ request: tried, avoid: new Set([...progress.avoid, place.entry.name]), notRun, failure });
     };
 
-    return next({
+    return startTry({
         request: {
             repeatable: isRepeatable(served.route.kind),
-            deadline: served.endsAt,
+            deadline: served.deadline,
             tries: 0,
             next: 0,
             ran: "no",
--- a/packages/router/src/serve/shouldMove.ts
+++ b/packages/router/src/serve/shouldMove.ts
@@ -1,35 +1,41 @@
 import type { Tokens } from "@azureshunt/core";
 
-/** Prompt tokens that an engine reads in the time in which it makes one token of an answer: 60 a millisecond, 10 ms each. */
-const READ_PER_MADE = 600;
-/** Reading the prompt anew has to cost less than this part of what is left to be made. */
-const WORTH_PART = 0.25;
-/** Tries that stay in the budget for requests whose engine fails. */
-const KEPT_BUDGET = 3;
+/**
+ * Prompt tokens that an engine prefills in the time in which it generates one token: 60 per millisecond, 10 ms each.
+ */
+const PREFILL_PER_GENERATED = 600;
+/** Prefilling the prompt again must cost less than this fraction of what is left to generate. */
+const MAX_PREFILL_FRACTION = 0.25;
+/** Retries that stay in the budget for requests whose engine fails. */
+const MIN_BUDGET_FOR_MOVE = 3;
 
-/** What decides whether a stream goes on at another engine. */
-type MoveQuestion = {
+/** Inputs of the decision whether a stream continues at another engine. */
+type MoveConditions = {
     readonly promptTokens: Tokens;
-    /** Most tokens of the answer. */
+    /** Maximum number of tokens of the answer. */
     readonly outputTokens: Tokens;
-    readonly passedEvents: number;
-    /** Further tries that the service's budget allows now. */
+    readonly forwardedEvents: number;
+    /** Retries that the service's budget allows now. */
     readonly budget: number;
-    /** Other engines of the model that take requests. */
-    readonly others: number;
+    /** Number of other engines of the model that accept requests. */
+    readonly otherEngines: number;
 };
 
 /**
- * Decides whether a stream that may be resumed leaves an engine that has been ordered to take new weights.
+ * Decides whether a resumable stream leaves an engine that has been ordered to load new weights.
  *
- * Load: an engine finishes its runs before it takes new weights, and gets no work meanwhile. One long answer keeps it away
- * for 2.5 to 4.5 s where the load itself takes 1.3 s, while the others drown in prompts that they all read anew. A short
- * prompt with much of its answer to come is read again elsewhere in milliseconds.
+ * An engine finishes its requests before it loads new weights, and gets no new ones meanwhile. One long answer keeps it
+ * out of service for 2.5 to 4.5 s although loading itself takes 1.3 s, while the other engines are overloaded with
+ * prompts that they all have to prefill again. A short prompt with much of its answer to come is prefilled again
+ * elsewhere in milliseconds.
  *
- * Limit: each move takes one try of the service's budget. A stream whose next try is ruled out would be lost, so the last
- * tries stay for engines that fail; nor does it leave where no other engine takes it.
+ * Limitation: each move takes one retry of the service's budget. A stream that cannot be retried would be lost, so the
+ * last retries are left for engines that fail; and a stream stays if no other engine accepts it.
  */
-export function shouldMove({ promptTokens, outputTokens, passedEvents, budget, others }: MoveQuestion): boolean {
-    const left = outputTokens - passedEvents;
-    return others > 0 && budget >= KEPT_BUDGET && promptTokens < left * READ_PER_MADE * WORTH_PART;
+export function shouldMove(
+    { promptTokens, outputTokens, forwardedEvents, budget, otherEngines }: MoveConditions,
+): boolean {
+    const leftTokens = outputTokens - forwardedEvents;
+    return otherEngines > 0 && budget >= MIN_BUDGET_FOR_MOVE &&
+        promptTokens < leftTokens * PREFILL_PER_GENERATED * MAX_PREFILL_FRACTION;
 }
--- a/packages/router/src/serve/startFront.ts
+++ b/packages/router/src/serve/startFront.ts
@@ -12,7 +12,7 @@
 import { startListener } from "./startListener.js";
 import { statusOf } from "./statusOf.js";
 
-type FrontParts = {
+type CallerServerParts = {
     readonly settings: RouterSettings;
     readonly handler: (req: IncomingMessage, res: ServerResponse) => Promise<void>;
     readonly callerWire: CallerWire;
@@ -20,41 +20,41 @@
     readonly isReady: () => boolean;
 };
 
-/** The listeners for callers and for the balancer. */
-type Front = {
-    /** Waits until no request runs and no new connection comes, at most for the time given. */
+/** The running listeners for callers and for the balancer. */
+type CallerServer = {
+    /** Waits until no request runs and no new connections are to be expected, at most for the time given. */
     readonly drain: (withinMs: Millis) => Promise<void>;
 };
 
 const OK = 200;
 const UNAVAILABLE = 503;
-/** The balancer asks once a second and takes a VM out after two misses; connections come until then. */
-const LAST_CONNECTIONS_MS = 2_600;
-/** Left of the time to stop when what still runs is given up. */
+/** The balancer probes once per second and removes a VM after two failures; until then, new connections arrive. */
+const NEW_CONNECTIONS_MS = 2_600;
+/** Part of the shutdown time that is left when requests that still run are aborted. */
 const STOP_MARGIN_MS = 700;
-/** A caller that takes longer to send a body holds memory for nothing; its own deadline has passed by then. */
-const BODY_MS = 30_000;
+/** A caller that takes longer to send a body only occupies memory: its own deadline has passed by then. */
+const BODY_TIMEOUT_MS = 30_000;
 const POLL_MS = 50;
-const LIMITS_EVERY_MS = 250;
+const LIMITS_INTERVAL_MS = 250;
 
-const FAULTS: Readonly<Record<string, ErrorKind>> = {
+const ERROR_KINDS: Readonly<Record<string, ErrorKind>> = {
     HPE_HEADER_OVERFLOW: "headers-too-large",
     ERR_HTTP_REQUEST_TIMEOUT: "headers-too-slow",
 };
 
-const faultOf = (err: NodeJS.ErrnoException): ErrorKind => FAULTS[err.code ?? ""] ?? "bad-request";
+const errorKindOf = (err: NodeJS.ErrnoException): ErrorKind => ERROR_KINDS[err.code ?? ""] ?? "bad-request";
 
-const isGone = (err: NodeJS.ErrnoException): boolean => err.code === "ECONNRESET";
+const isReset = (err: NodeJS.ErrnoException): boolean => err.code === "ECONNRESET";
 
 /** Starts the listeners for callers and for the balancer. */
-export async function startFront(parts: FrontParts): Promise<Front> {
+export async function startFront(parts: CallerServerParts): Promise<CallerServer> {
     const { settings, callerWire } = parts;
     const running = new Set<ServerResponse>();
     const state = { isClosing: false };
     const server = await startListener(settings.listen.callers, (req, res) => {
         running.add(res);
         res.once("close", () => running.delete(res));
-        // An answer that began before the stop does not say that its connection ends; the next request must not come.
+        // An answer that began before the shutdown has no `Connection: close`; no further request may follow on it.
         res.once("finish", () => {
             if (state.isClosing) {
                 req.socket.destroySoon();
@@ -67,15 +67,15 @@
         void parts.handler(req, res);
     });
     /**
-     * Failure: bytes that are no request, or two requests folded into one by conflicting lengths, are passed on and run.
-     * Guard: the parser is strict, the caller gets its error, and the connection ends.
+     * Bytes that are not a valid request, or two requests merged into one by conflicting lengths, could be forwarded
+     * and run. To prevent this, the parser is strict, the caller gets an error, and the connection is closed.
      */
     server.on("clientError", (err: NodeJS.ErrnoException, socket: Duplex) => {
-        if (isGone(err) || !socket.writable) {
+        if (isReset(err) || !socket.writable) {
             socket.destroy();
             return;
         }
-        const refusal = refusalOf(faultOf(err));
+        const refusal = refusalOf(errorKindOf(err));
         const { headers } = callerWire.encodeRefusal(refusal);
         const lines = headers.flatMap((name, i) => i % 2 === 0 ? [`${name}: ${headers[i + 1] ?? ""}`] : []);
         socket.end(
@@ -89,41 +89,41 @@
         if (limits !== undefined) {
             server.headersTimeout = limits.headerTimeoutMs;
             server.keepAliveTimeout = limits.idleTimeoutMs;
-            server.requestTimeout = limits.headerTimeoutMs + BODY_MS;
+            server.requestTimeout = limits.headerTimeoutMs + BODY_TIMEOUT_MS;
         }
     };
-    const timer = setInterval(applyLimits, LIMITS_EVERY_MS);
+    const timer = setInterval(applyLimits, LIMITS_INTERVAL_MS);
     const ready = await startListener(settings.listen.ready, (_req, res) => {
         res.writeHead(parts.isReady() ? OK : UNAVAILABLE);
         res.end();
     });
 
     /**
-     * Failure: a caller keeps its connection through the stop and sends a request on it seconds later, which cannot end
-     * in time any more. It shows as an answer that is cut. Guard: each answer after the stop began ends its connection.
-     * Once the balancer sends nobody new, connections without a request are closed, those with one after their answer, and
-     * a request that comes all the same is told that it has not run.
+     * If a caller keeps its connection open during the shutdown and sends a request on it seconds later, that request
+     * cannot end in time any more. Symptom: an answer that is cut off. To prevent this, each answer after the shutdown
+     * began closes its connection. Once the balancer sends no new connections, those without a request are closed at
+     * once and those with one after their answer; a request that arrives all the same is refused as not run.
      */
-    const closeIdle = (): void => {
+    const closeIdleConnections = (): void => {
         state.isClosing = true;
         if (server.listening) {
             server.close();
         }
         server.closeIdleConnections();
     };
-    const drain: Front["drain"] = withinMs =>
+    const drain: CallerServer["drain"] = withinMs =>
         new Promise(resolve => {
             const startedAt = performance.now();
             const poll = setInterval(() => {
-                const passed = performance.now() - startedAt;
-                if (passed > LAST_CONNECTIONS_MS) {
-                    closeIdle();
+                const elapsedMs = performance.now() - startedAt;
+                if (elapsedMs > NEW_CONNECTIONS_MS) {
+                    closeIdleConnections();
                 }
-                const isOver = running.size === 0 && passed > LAST_CONNECTIONS_MS;
-                if (isOver || passed > withinMs - STOP_MARGIN_MS) {
+                const isOver = running.size === 0 && elapsedMs > NEW_CONNECTIONS_MS;
+                if (isOver || elapsedMs > withinMs - STOP_MARGIN_MS) {
                     clearInterval(poll);
                     clearInterval(timer);
-                    closeIdle();
+                    closeIdleConnections();
                     server.closeAllConnections();
                     ready.close();
                     ready.closeAllConnections();
--- /dev/null
+++ b/packages/router/src/serve/watchCancellation.ts
@@ -0,0 +1,31 @@
+import type { ServerResponse } from "node:http";
+
+import type { Millis } from "@azureshunt/core";
+
+/** Cancellation of a request: its caller disconnected before the answer was complete, or its deadline passed. */
+type Cancellation = {
+    readonly signal: AbortSignal;
+    readonly isDeadlineExceeded: () => boolean;
+    readonly release: () => void;
+};
+
+/** Watches whether a request is cancelled before its answer ends, as its caller disconnects or its deadline passes. */
+export function watchCancellation(res: ServerResponse, endsInMs: Millis): Cancellation {
+    const controller = new AbortController();
+    const state = { isDeadlineExceeded: false };
+    const timer = setTimeout(() => {
+        state.isDeadlineExceeded = true;
+        controller.abort();
+    }, endsInMs);
+    const onClose = (): void => {
+        if (!res.writableFinished) {
+            controller.abort();
+        }
+    };
+    res.once("close", onClose);
+    const release = (): void => {
+        clearTimeout(timer);
+        res.removeListener("close", onClose);
+    };
+    return { signal: controller.signal, isDeadlineExceeded: () => state.isDeadlineExceeded, release };
+}
--- a/packages/router/src/serve/watchOrders.ts
+++ b/packages/router/src/serve/watchOrders.ts
@@ -1,34 +1,34 @@
 import type { Millis } from "@azureshunt/core";
 
 /**
- * Between hearing of an order and moving streams off its engine. Orders of one wave are given in the same moment and told
- * one after the other, over links of a few milliseconds.
+ * Delay between receiving an order and moving streams off its engine. Orders of one wave are issued at the same moment
+ * and sent one after the other, over links of a few milliseconds.
  */
-const WAVE_TOLD_MS: Millis = 30;
+const WAVE_PROPAGATION_MS: Millis = 30;
 
 type OrderWatch = {
-    /** Calls a listener whenever the engine is ordered; gives a function that ends the calls. */
+    /** Calls a listener whenever the engine is ordered to load weights; returns a function that unregisters it. */
     readonly onOrdered: (listener: () => void) => () => void;
-    /** Runs a function after some time; gives a function that prevents it. */
-    readonly later: (delayMs: Millis, run: () => void) => () => void;
-    /** Whether the stream leaves, as things stand by then. */
-    readonly takesMove: () => boolean;
+    /** Runs a function after a delay; returns a function that cancels it. */
+    readonly schedule: (delayMs: Millis, run: () => void) => () => void;
+    /** Called after the delay: reserves a retry and returns whether the stream leaves. */
+    readonly reserveMove: () => boolean;
 };
 
 /**
- * Watches for the moment at which a stream leaves its engine.
+ * Watches the orders for a stream's engine and calls `move` when the stream is to leave it.
  *
- * Failure: two engines are ordered at once, a VM hears of the first order and sends its stream to the second engine, which
- * refuses it as it is to take new weights too; the further try is used up and the stream is cut. Guard: a stream leaves
- * only when all orders of the wave are known.
+ * If two engines are ordered at once and a VM knows only the first order, it would send its stream to the second
+ * engine, which refuses it as it has to load new weights too; the retry is used up and the stream is cut off. To
+ * prevent this, a stream leaves only when all orders of the wave are known.
  *
- * @returns a function that ends the watch
+ * @returns a function that stops watching
  */
-export function watchOrders({ onOrdered, later, takesMove }: OrderWatch, move: () => void): () => void {
+export function watchOrders({ onOrdered, schedule, reserveMove }: OrderWatch, move: () => void): () => void {
     const pending = { cancel: (): void => undefined };
     const onOrder = (): void => {
         pending.cancel();
-        pending.cancel = later(WAVE_TOLD_MS, () => takesMove() ? move() : undefined);
+        pending.cancel = schedule(WAVE_PROPAGATION_MS, () => reserveMove() ? move() : undefined);
     };
     const unregister = onOrdered(onOrder);
     return () => {
