--- a/packages/router/src/__tests__/support/bookOf.ts
+++ b/packages/router/src/__tests__/support/bookOf.ts
@@ -6,17 +6,20 @@
 import type { EndpointBook } from "../../placement/EndpointBook.js";
 import { entryOf } from "./entryOf.js";
 
-type BookOfOne = {
+type OneEngineTable = {
     readonly book: EndpointBook;
     readonly time: { now: Millis; };
     readonly model: ModelName;
     readonly engine: EndpointName;
-    /** Engines on weights that were replaced longer ago get no requests. */
+    /** Engines whose weights were replaced longer ago than this get no requests. */
     readonly servesForMs: Millis;
 };
 
-/** A book with one engine on version 1 of a model, of which version 2 has just been named; its clock is set by the test. */
-export function bookOf(address = "10.0.0.1:80"): BookOfOne {
+/**
+ * Creates an endpoint table with one engine on version 1 of a model whose target has just become version 2. The test sets
+ * the clock through `time`.
+ */
+export function bookOf(address = "10.0.0.1:80"): OneEngineTable {
     const model = "model" as ModelName;
     const engine = "e" as EndpointName;
     const servesForMs = 10_500;
@@ -32,6 +35,9 @@
         onChange: () => undefined,
         onGone: () => undefined,
     });
-    book.tellRegistry({ kind: "whole", entries: [entryOf(engine, { address, versions: new Map([[model, 1]]) })] });
+    book.applyRegistryEvent({
+        kind: "whole",
+        entries: [entryOf(engine, { address, versions: new Map([[model, 1]]) })],
+    });
     return { book, time, model, engine, servesForMs };
 }
--- a/packages/router/src/__tests__/support/candidateOf.ts
+++ b/packages/router/src/__tests__/support/candidateOf.ts
@@ -1,14 +1,14 @@
 import type { EndpointName } from "@azureshunt/core";
 
 import type { Candidate } from "../../placement/Candidate.js";
-import { soundHealth } from "../../placement/soundHealth.js";
+import { initialHealth } from "../../placement/initialHealth.js";
 
-/** An idle engine that would have to read the whole prompt. */
+/** Creates an idle engine that would have to prefill the whole prompt. */
 export function candidateOf(name: string, more: Partial<Candidate> = {}): Candidate {
     return {
         name: name as EndpointName,
-        health: soundHealth,
-        isNear: true,
+        health: initialHealth,
+        isSameDomain: true,
         slots: 64,
         running: 0,
         waitingTokens: 0,
@@ -18,7 +18,7 @@
         fetchedTokens: 0,
         outdatedMs: undefined,
         silentMs: 0,
-        quietMs: 0,
+        domainSilentMs: 0,
         ...more,
     };
 }
--- a/packages/router/src/__tests__/support/entryOf.ts
+++ b/packages/router/src/__tests__/support/entryOf.ts
@@ -2,7 +2,7 @@
 
 import type { EndpointEntry } from "../../registry/EndpointEntry.js";
 
-/** An endpoint's entry in the registry. */
+/** Creates an endpoint's registry entry. */
 export function entryOf(name: string, more: Partial<EndpointEntry> = {}): EndpointEntry {
     return {
         name: name as EndpointName,
--- a/packages/router/src/__tests__/unit/placement.test.ts
+++ b/packages/router/src/__tests__/unit/placement.test.ts
@@ -7,27 +7,27 @@
 import { createChainMemory } from "../../placement/createChainMemory.js";
 import { healthAfterTry } from "../../placement/healthAfterTry.js";
 import type { InFlight } from "../../placement/InFlight.js";
+import { initialHealth } from "../../placement/initialHealth.js";
 import { loadOf } from "../../placement/loadOf.js";
-import { soundHealth } from "../../placement/soundHealth.js";
 import { candidateOf } from "../support/candidateOf.js";
 
 type Case = { readonly name: string; readonly candidates: readonly Candidate[]; readonly chosen: string | undefined; };
 
-// A dark engine looks idle and draws all requests.
+// An engine that has stopped responding looks idle and attracts all requests.
 const cases: readonly Case[] = [
-    { name: "nobody", candidates: [], chosen: undefined },
+    { name: "no candidates: none is chosen", candidates: [], chosen: undefined },
     {
-        name: "the shorter queue",
+        name: "prefers the shorter queue",
         candidates: [candidateOf("a", { waitingTokens: 9_000 }), candidateOf("b")],
         chosen: "b",
     },
     {
-        name: "less to read, though the queue is a little longer",
+        name: "prefers less prefill to a slightly shorter queue",
         candidates: [candidateOf("a", { missingTokens: 600, waitingTokens: 1_000 }), candidateOf("b")],
         chosen: "a",
     },
     {
-        name: "a holder of the shared parts before one that would fetch them",
+        name: "prefers an engine that holds the shared parts to one that would fetch them",
         candidates: [
             candidateOf("a", { missingTokens: 1_000, fetchedTokens: 5_000 }),
             candidateOf("b", { missingTokens: 1_000 }),
@@ -35,51 +35,51 @@
         chosen: "b",
     },
     {
-        name: "the newest weights, when the others were replaced a while ago",
+        name: "prefers the newest weights to weights replaced a while ago",
         candidates: [candidateOf("a", { outdatedMs: 2_000 }), candidateOf("b", { running: 5 })],
         chosen: "b",
     },
     {
-        name: "replaced weights, while they still count in full",
+        name: "does not penalise weights replaced a short time ago",
         candidates: [candidateOf("a", { outdatedMs: 500 }), candidateOf("b", { running: 20 })],
         chosen: "a",
     },
     {
-        name: "a busy one before one that has gone silent",
+        name: "prefers a busy endpoint to a silent one",
         candidates: [candidateOf("a", { silentMs: 400 }), candidateOf("b", { running: 9, waitingTokens: 9_000 })],
         chosen: "b",
     },
     {
-        name: "a busy one before one in a failure domain out of hearing",
-        candidates: [candidateOf("a", { quietMs: 500 }), candidateOf("b", { running: 9, waitingTokens: 9_000 })],
+        name: "prefers a busy endpoint to one in a silent failure domain",
+        candidates: [candidateOf("a", { domainSilentMs: 500 }), candidateOf("b", { running: 9, waitingTokens: 9_000 })],
         chosen: "b",
     },
     {
-        name: "one that is paused after failures gets nothing",
+        name: "skips an endpoint in backoff",
         candidates: [
-            candidateOf("a", { health: { ...soundHealth, downUntil: 2_000 } }),
+            candidateOf("a", { health: { ...initialHealth, backoffUntil: 2_000 } }),
             candidateOf("b", { running: 50 }),
         ],
         chosen: "b",
     },
     {
-        name: "where all are paused, the one whose pause ends first",
+        name: "all in backoff: tries the one whose backoff ends first",
         candidates: [
-            candidateOf("a", { health: { ...soundHealth, downUntil: 3_000 } }),
-            candidateOf("b", { health: { ...soundHealth, downUntil: 2_000 } }),
+            candidateOf("a", { health: { ...initialHealth, backoffUntil: 3_000 } }),
+            candidateOf("b", { health: { ...initialHealth, backoffUntil: 2_000 } }),
         ],
         chosen: "b",
     },
     {
-        name: "an engine with memory left",
+        name: "prefers an engine with free memory",
         candidates: [candidateOf("a", { memoryTokens: 290_000 }), candidateOf("b", { waitingTokens: 9_000 })],
         chosen: "b",
     },
     {
-        name: "plain services: a free slot",
+        name: "plain services: prefers a free slot in another failure domain to a full endpoint",
         candidates: [
             candidateOf("a", { memorySize: 0, slots: 6, running: 6, missingTokens: 0 }),
-            candidateOf("b", { memorySize: 0, slots: 6, running: 2, missingTokens: 0, isNear: false }),
+            candidateOf("b", { memorySize: 0, slots: 6, running: 2, missingTokens: 0, isSameDomain: false }),
         ],
         chosen: "b",
     },
@@ -109,8 +109,8 @@
 
 healthCases.forEach(({ outcomes, down, rate }) => {
     test(`healthAfterTry: ${outcomes.join(", ")}`, t => {
-        const health = outcomes.reduce((before, outcome) => healthAfterTry(before, outcome, 1_000), soundHealth);
-        t.is(health.downUntil, down);
+        const health = outcomes.reduce((before, outcome) => healthAfterTry(before, outcome, 1_000), initialHealth);
+        t.is(health.backoffUntil, down);
         t.is(health.failureRate, rate);
     });
 });
@@ -124,68 +124,73 @@
     ...more,
 });
 
-// An engine that has gone dark passes for sound, or one that is only slow for dark.
-const silences = [
-    { name: "nothing there", requests: [], signAt: 0, silentMs: 0 },
-    { name: "a request that is not due", requests: [inFlight({ expectedAt: 5_000 })], signAt: 0, silentMs: 0 },
-    { name: "a stream that stopped", requests: [inFlight({ isAnswering: true })], signAt: 1_000, silentMs: 600 },
-    { name: "a stream that runs", requests: [inFlight({ isAnswering: true })], signAt: 1_990, silentMs: 0 },
-    { name: "an overdue request beside a stream that runs", requests: [inFlight({})], signAt: 1_990, silentMs: 0 },
-    { name: "an overdue request and no sign", requests: [inFlight({})], signAt: -Infinity, silentMs: 1_600 },
+// An engine that has stopped responding is taken for healthy, or one that is merely slow for one that has stopped.
+const silenceCases = [
+    { name: "no requests", requests: [], activityAt: 0, silentMs: 0 },
+    {
+        name: "a request whose first activity is not due yet",
+        requests: [inFlight({ expectedAt: 5_000 })],
+        activityAt: 0,
+        silentMs: 0,
+    },
+    { name: "a stream that stopped", requests: [inFlight({ isAnswering: true })], activityAt: 1_000, silentMs: 600 },
+    { name: "a running stream", requests: [inFlight({ isAnswering: true })], activityAt: 1_990, silentMs: 0 },
+    { name: "an overdue request beside a running stream", requests: [inFlight({})], activityAt: 1_990, silentMs: 0 },
+    { name: "an overdue request and no activity", requests: [inFlight({})], activityAt: -Infinity, silentMs: 1_600 },
 ] as const;
 
-silences.forEach(({ name, requests, signAt, silentMs }) => {
-    test(`loadOf: silence, ${name}`, t => t.is(loadOf(requests, undefined, signAt, 2_000).silentMs, silentMs));
+silenceCases.forEach(({ name, requests, activityAt, silentMs }) => {
+    test(`loadOf: silence, ${name}`, t => t.is(loadOf(requests, undefined, activityAt, 2_000).silentMs, silentMs));
 });
 
-test("chain memory: a part counts only where all before it are held, under the same salt, for a time", t => {
+test("prefix index: a part counts only if all parts before it are cached, under the same salt, until it expires", t => {
     const parts = [{ id: "a", tokens: 10 }, { id: "b", tokens: 20 }, { id: "c", tokens: 30 }];
-    const memory = createChainMemory(() => ({ keptMs: 1_000, size: 1_000 }));
+    const index = createChainMemory(() => ({ keptMs: 1_000, size: 1_000 }));
     const chain = chainOf("w1", parts);
-    memory.note("e1", chain.slice(0, 2), 0);
-    memory.note("e2", chain.slice(1), 0);
-    t.deepEqual(memory.holders(chain, 500), [{ holder: "e1", tokens: 30 }]);
-    t.deepEqual(memory.holders(chainOf("w2", parts), 500), []);
-    t.deepEqual(memory.holders(chain, 1_500), []);
-    memory.forget("e1");
-    t.deepEqual(memory.holders(chain, 500), []);
+    index.note("e1", chain.slice(0, 2), 0);
+    index.note("e2", chain.slice(1), 0);
+    t.deepEqual(index.holders(chain, 500), [{ holder: "e1", tokens: 30 }]);
+    t.deepEqual(index.holders(chainOf("w2", parts), 500), []);
+    t.deepEqual(index.holders(chain, 1_500), []);
+    index.forget("e1");
+    t.deepEqual(index.holders(chain, 500), []);
 });
 
-test("chain memory: other VMs are told once of all that an engine has read, as all of it takes room there", t => {
+test("prefix index: an update to the peers lists each part once, all parts included as all take up room", t => {
     const chain = chainOf("w1", [{ id: "a", tokens: 10 }, { id: "b", tokens: 20 }]);
-    const memory = createChainMemory(() => ({ keptMs: 1_000, size: 1_000 }));
-    memory.note("e1", chain, 0);
-    memory.note("e1", chain, 0);
-    t.deepEqual(memory.takeNews(), [["e1", chain]]);
-    t.deepEqual(memory.takeNews(), []);
+    const index = createChainMemory(() => ({ keptMs: 1_000, size: 1_000 }));
+    index.note("e1", chain, 0);
+    index.note("e1", chain, 0);
+    t.deepEqual(index.takeNews(), [["e1", chain]]);
+    t.deepEqual(index.takeNews(), []);
     const other = createChainMemory(() => ({ keptMs: 1_000, size: 1_000 }));
     other.hear("e1", chain, 0);
     t.deepEqual(other.holders(chain, 500), [{ holder: "e1", tokens: 30 }]);
 });
 
-// A part that has left an engine's memory is counted on, fetched from nowhere and read again.
-const fillings: readonly { readonly name: string; readonly others: number; readonly held: boolean; }[] = [
-    { name: "a few prompts later it still holds the manual", others: 3, held: true },
-    { name: "as many as just fit beside the manual", others: 9, held: true },
-    { name: "one more pushes the manual out", others: 10, held: false },
+// A part that an engine has evicted still counts as cached, is not fetched, and has to be prefilled again.
+const fillings: readonly { readonly name: string; readonly others: number; readonly isHeld: boolean; }[] = [
+    { name: "it still holds the manual after a few prompts", others: 3, isHeld: true },
+    { name: "it still holds the manual with as many prompts as just fit beside it", others: 9, isHeld: true },
+    { name: "one more prompt evicts the manual", others: 10, isHeld: false },
 ];
-fillings.forEach(({ name, others, held }) => {
-    test(`chain memory of a full engine: ${name}`, t => {
-        const memory = createChainMemory(() => ({ keptMs: 8_000, size: 100_000 }));
+fillings.forEach(({ name, others, isHeld }) => {
+    test(`prefix index of a full engine: ${name}`, t => {
+        const index = createChainMemory(() => ({ keptMs: 8_000, size: 100_000 }));
         const manual = chainOf("w1", [{ id: "manual", tokens: 10_000 }]);
-        memory.note("e1", manual, 0);
+        index.note("e1", manual, 0);
         Array.from({ length: others }, (_, i) => chainOf("w1", [{ id: `own${i}`, tokens: 10_000 }]))
-            .forEach((own, i) => memory.note("e1", own, 10 * i));
-        t.is(memory.holders(manual, 2_000).length === 1, held);
+            .forEach((own, i) => index.note("e1", own, 10 * i));
+        t.is(index.holders(manual, 2_000).length === 1, isHeld);
     });
 });
 
-test("chain memory of a full engine: what is used again stays, and the end of a prompt makes room before its beginning", t => {
-    const memory = createChainMemory(() => ({ keptMs: 8_000, size: 30 }));
+test("prefix index of a full engine: parts used again stay, and the end of a prompt is evicted before its beginning", t => {
+    const index = createChainMemory(() => ({ keptMs: 8_000, size: 30 }));
     const first = chainOf("w1", [{ id: "a", tokens: 10 }, { id: "b", tokens: 10 }]);
-    memory.note("e1", first, 0);
-    memory.note("e1", chainOf("w1", [{ id: "c", tokens: 10 }]), 1);
-    memory.note("e1", first, 2);
-    memory.note("e1", chainOf("w1", [{ id: "d", tokens: 20 }]), 3);
-    t.deepEqual(memory.holders(first, 4), [{ holder: "e1", tokens: 10 }]);
+    index.note("e1", first, 0);
+    index.note("e1", chainOf("w1", [{ id: "c", tokens: 10 }]), 1);
+    index.note("e1", first, 2);
+    index.note("e1", chainOf("w1", [{ id: "d", tokens: 20 }]), 3);
+    t.deepEqual(index.holders(first, 4), [{ holder: "e1", tokens: 10 }]);
 });
--- a/packages/router/src/__tests__/unit/registry.test.ts
+++ b/packages/router/src/__tests__/unit/registry.test.ts
@@ -21,10 +21,10 @@
     readonly endpoints: readonly string[];
 };
 
-// Entries that lapsed while the store was away count as gone, or endpoints that left go on getting requests.
+// Entries that expired while the store was unavailable count as gone, or endpoints that left still get requests.
 const cases: readonly Case[] = [
     {
-        name: "an entry that is dropped is gone",
+        name: "a dropped entry is gone",
         events: [[5_000, whole(entryOf("a"))], [5_700, nothing], [6_400, nothing], [7_100, nothing], [
             7_800,
             drop("a"),
@@ -32,32 +32,32 @@
         endpoints: [],
     },
     {
-        name: "an entry missing right after a gap still counts",
+        name: "an entry that is missing right after a gap still counts",
         events: [[0, whole(entryOf("a"))], [6_000, drop("a")], [7_000, nothing]],
         endpoints: ["a"],
     },
     {
-        name: "one that comes back stays",
+        name: "a missing entry that returns stays",
         events: [[0, whole(entryOf("a"))], [6_000, drop("a")], [7_000, put(entryOf("a"))], [9_000, nothing]],
         endpoints: ["a"],
     },
     {
-        name: "one that is still missing after two seconds is gone",
+        name: "an entry that is still missing after two seconds is gone",
         events: [[0, whole(entryOf("a"))], [6_000, drop("a")], [7_000, nothing], [8_300, nothing]],
         endpoints: [],
     },
     {
-        name: "one that had said that it leaves is gone at once",
+        name: "a missing entry of a leaving endpoint is gone at once",
         events: [[0, whole(entryOf("a", { isLeaving: true }))], [6_000, drop("a")]],
         endpoints: [],
     },
     {
-        name: "a whole list after a gap leaves out a living one",
+        name: "an entry that a complete list after a gap lacks still counts",
         events: [[0, whole(entryOf("a"), entryOf("b"))], [6_000, whole(entryOf("b"))]],
         endpoints: ["a", "b"],
     },
     {
-        name: "an earlier run does not come back",
+        name: "an earlier incarnation does not come back",
         events: [[5_000, whole(entryOf("a", { bornAt: 9 }))], [
             5_500,
             put(entryOf("a", { bornAt: 3, isLeaving: true })),
@@ -65,7 +65,7 @@
         endpoints: ["a"],
     },
     {
-        name: "time alone drops nobody while the store is away",
+        name: "time alone drops no entry while the store is unavailable",
         events: [[0, whole(entryOf("a"))], [6_000, drop("a")], [30_000, { kind: "tick" }]],
         endpoints: ["a"],
     },
--- a/packages/router/src/placement/Candidate.ts
+++ b/packages/router/src/placement/Candidate.ts
@@ -2,29 +2,29 @@
 
 import type { EndpointHealth } from "./EndpointHealth.js";
 
-/** One endpoint that could take a request, as it stands now. */
+/** An endpoint that could take a request, with its current state as this VM knows it. */
 export type Candidate = {
     readonly name: EndpointName;
     readonly health: EndpointHealth;
-    /** Whether it stands in this VM's failure domain. */
-    readonly isNear: boolean;
+    /** Whether the endpoint is in this VM's failure domain. */
+    readonly isSameDomain: boolean;
     readonly slots: number;
-    /** Requests that it runs or holds, from this VM and as the other VMs last told. */
+    /** Requests running or queued there: this VM's own, and those that the peers last reported. */
     readonly running: number;
-    /** Prompt tokens of requests that it has not begun to answer. */
+    /** Prompt tokens of requests whose answers have not started. */
     readonly waitingTokens: Tokens;
-    /** Tokens that its requests hold in its memory; 0 at plain services. */
+    /** Tokens that its requests occupy in the KV cache; 0 for plain services. */
     readonly memoryTokens: Tokens;
-    /** 0 at plain services. */
+    /** Capacity of the KV cache; 0 for plain services. */
     readonly memorySize: Tokens;
-    /** Prompt tokens of this request that it must read itself. */
+    /** Prompt tokens of this request that the endpoint would have to prefill. */
     readonly missingTokens: Tokens;
-    /** How long newer weights than its own have been named; undefined where it holds the newest. */
+    /** Time since newer target weights were set; undefined if it holds the newest. */
     readonly outdatedMs: Millis | undefined;
-    /** How long it has given no sign of life beyond what is usual; 0 where all is well. */
+    /** Time without activity beyond the usual gap; 0 if healthy. */
     readonly silentMs: Millis;
-    /** How long its failure domain has been out of hearing; 0 where it is this VM's own. */
-    readonly quietMs: Millis;
-    /** Prompt tokens that it can fetch from elsewhere in place of reading them. */
+    /** How long its failure domain has been silent; 0 for this VM's own. */
+    readonly domainSilentMs: Millis;
+    /** Prompt tokens that it can fetch from another engine or the cache store instead of prefilling them. */
     readonly fetchedTokens: Tokens;
 };
--- a/packages/router/src/placement/EndpointBook.ts
+++ b/packages/router/src/placement/EndpointBook.ts
@@ -6,63 +6,74 @@
 import type { EndpointEntry } from "../registry/EndpointEntry.js";
 import type { RegistryEvent } from "../registry/RegistryEvent.js";
 import type { Candidate } from "./Candidate.js";
-import type { EndpointSeat } from "./EndpointSeat.js";
+import type { InFlightHandle } from "./InFlightHandle.js";
 import type { PlacedRequest } from "./PlacedRequest.js";
 
-/** An endpoint that could take a request, with what is needed to send it there. */
+/** An endpoint that could take a request, with what is needed to send the request there. */
 type PlaceableEndpoint = {
     readonly candidate: Candidate;
     readonly entry: EndpointEntry;
-    /** Version of the weights that it holds; undefined at plain services. */
+    /** Version of the weights that it holds; undefined for plain services. */
     readonly weights: number | undefined;
 };
 
 /** All that a VM knows of the endpoints. */
 export type EndpointBook = {
+    /** Whether the registry has been read at all. */
     readonly isKnown: () => boolean;
     readonly size: () => number;
-    /** When the registry last answered; −∞ before it has. */
+    /** When the registry last answered; `-Infinity` until then. */
     readonly answeredAt: () => Millis;
-    /** Names the registry's entries as they are known here; see `digestOfRegistry`. */
+    /** Digest of the registry entries known here; see `digestOfRegistry`. */
     readonly registryDigest: () => string;
-    readonly tellRegistry: (event: RegistryEvent) => void;
+    readonly applyRegistryEvent: (event: RegistryEvent) => void;
     readonly candidates: (request: PlacedRequest) => readonly PlaceableEndpoint[];
+    /** Starts tracking a request that is sent to the endpoint. */
     readonly begin: (
         endpoint: EndpointName,
         sizes: { readonly missingTokens: Tokens; readonly memoryTokens: Tokens; readonly expectedMs: Millis; },
-    ) => EndpointSeat;
-    /** A call that is no request of a caller could not reach it. */
+    ) => InFlightHandle;
+    /** Records that a call other than a caller's request could not reach the endpoint. */
     readonly unreached: (endpoint: EndpointName) => void;
-    /** An engine showed which weights it holds. */
+    /**
+     * Records the version that an engine itself reported.
+     *
+     * @param ordersTaken orders that it has accepted since its start; undefined if it did not report them
+     */
     readonly sawWeights: (endpoint: EndpointName, version: number, ordersTaken?: number) => void;
-    /** Another VM told which weights an engine holds; gives whether that is news. */
+    /**
+     * Records the version that a peer reported for an engine.
+     *
+     * @returns whether the version was new to this VM
+     */
     readonly heardWeights: (endpoint: EndpointName, version: number) => boolean;
     /**
-     * An order was given, by this VM or another, or is still under way. An older one than is known changes nothing.
+     * Records a weights order that this VM or a peer issued, or that is still being carried out. An order older than the
+     * known one is ignored.
      *
-     * @returns whether this VM had not heard of an order for these weights
+     * @returns whether the order was accepted and an order for these weights was new to this VM
      */
     readonly ordered: (endpoint: EndpointName, order: EngineOrder) => boolean;
-    /** The order that was given then is over, or was never carried out; a newer one stays. */
-    readonly orderOver: (endpoint: EndpointName, givenAt: Millis) => void;
+    /** Removes the order issued at that time, as it has ended or was never carried out; a newer order stays. */
+    readonly orderOver: (endpoint: EndpointName, issuedAt: Millis) => void;
     /**
-     * Calls the listener whenever an order for new weights is given to the engine.
+     * Calls the listener whenever this VM learns of an order for new weights to the engine.
      *
-     * @returns a function that ends the calls
+     * @returns a function that removes the listener
      */
     readonly onOrdered: (endpoint: EndpointName, listener: () => void) => () => void;
-    /** Whether any engine of a model holds an older version; asked several times a second, so it looks at nothing else. */
+    /** Whether any engine of a model holds an older version. Called several times a second, so it checks nothing else. */
     readonly isAnyBehind: (model: ModelName, version: number) => boolean;
-    /** Engines that hold a model. */
+    /** Engines that serve a model and are not leaving. */
     readonly engines: (model: ModelName) => readonly EngineWeights[];
     /** The service of the endpoint at an address, `host:port`. */
     readonly serviceAt: (address: string) => ServiceName | undefined;
     readonly entryOf: (endpoint: EndpointName) => EndpointEntry | undefined;
-    /** This VM's own requests at each endpoint that has any. */
+    /** This VM's own load at each endpoint where it has requests in flight. */
     readonly ownShares: () => readonly (readonly [EndpointName, EndpointShare])[];
-    /** Orders of this VM that are being carried out: engine, version, how long ago they were given. */
+    /** Orders of this VM that are being carried out: engine, version, age in milliseconds. */
     readonly ownOrders: () => readonly (readonly [EndpointName, number, Millis])[];
-    /** Versions that engines hold, as this VM knows, and when it saw them itself first; −∞ where it has not. */
+    /** Versions that engines are known to hold, and when this VM learned of them, from the engine or from a peer. */
     readonly heldVersions: () => readonly {
         readonly endpoint: EndpointName;
         readonly version: number;
--- a/packages/router/src/placement/EndpointHealth.ts
+++ b/packages/router/src/placement/EndpointHealth.ts
@@ -1,11 +1,11 @@
 import type { Millis } from "@azureshunt/core";
 
-/** What this VM's own tries say of an endpoint. */
+/** Health of an endpoint as measured by this VM's own tries. */
 export type EndpointHealth = {
-    /** Recent share of tries that failed, from 0 to 1; recent tries weigh more. */
+    /** Moving average of failed tries, from 0 to 1; recent tries weigh more. */
     readonly failureRate: number;
-    /** Tries in a row that did not reach it. */
+    /** Consecutive tries that did not reach it. */
     readonly unreachedInRow: number;
-    /** Until when it gets no work; then one try finds out. */
-    readonly downUntil: Millis;
+    /** It gets no requests until this time, unless all candidates are in backoff. */
+    readonly backoffUntil: Millis;
 };
--- /dev/null
+++ b/packages/router/src/placement/EndpointObservations.ts
@@ -0,0 +1,21 @@
+import type { Millis } from "@azureshunt/core";
+
+import type { EngineOrder } from "../fleet/EngineOrder.js";
+import type { EndpointHealth } from "./EndpointHealth.js";
+import type { InFlight } from "./InFlight.js";
+
+/** What this VM has observed of one incarnation of an endpoint. Updated in place. */
+export type EndpointObservations = {
+    readonly bornAt: number;
+    health: EndpointHealth;
+    inFlight: readonly InFlight[];
+    lastActivityAt: Millis;
+    /** Newest version known from answers, reports, orders and peers; the registry entry may be outdated. 0 until one is known. */
+    knownVersion: number;
+    /** When this VM learned of that version, from the engine or from a peer; `-Infinity` until then. */
+    versionLearnedAt: Millis;
+    /** Weights orders that the engine had accepted, as last reported. */
+    acceptedOrders: number;
+    /** The newest known weights order to the engine; it may have expired. */
+    order: EngineOrder | undefined;
+};
--- a/packages/router/src/placement/HolderLimits.ts
+++ b/packages/router/src/placement/HolderLimits.ts
@@ -1,9 +1,9 @@
 import type { Millis, Tokens } from "@azureshunt/core";
 
-/** What a holder of cached parts can keep. */
+/** What a holder of cached prompt parts can keep. */
 export type HolderLimits = {
-    /** What was not used for so long is no longer counted on. */
+    /** Parts unused for longer than this are assumed to be evicted. */
     readonly keptMs: Millis;
-    /** Tokens that fit into its memory; what was used longest ago makes room. */
+    /** Tokens that fit into its cache; the least recently used parts are evicted first. */
     readonly size: Tokens;
 };
--- a/packages/router/src/placement/InFlight.ts
+++ b/packages/router/src/placement/InFlight.ts
@@ -3,11 +3,11 @@
 /** One request that this VM has at an endpoint. */
 export type InFlight = {
     readonly sentAt: Millis;
-    /** When it should have given a sign of life at the latest. */
+    /** When the endpoint should have shown activity at the latest. */
     readonly expectedAt: Millis;
     readonly missingTokens: Tokens;
-    /** Prompt and answer, as they will lie in the engine's memory. */
+    /** Tokens of prompt and answer that the request will occupy in the KV cache. */
     readonly memoryTokens: Tokens;
-    /** Whether the answer has begun. */
+    /** Whether the answer has started. */
     readonly isAnswering: boolean;
 };
--- a/packages/router/src/placement/PlacedRequest.ts
+++ b/packages/router/src/placement/PlacedRequest.ts
@@ -3,11 +3,12 @@
 import type { EndpointEntry } from "../registry/EndpointEntry.js";
 import type { PromptShare } from "./PromptShare.js";
 
-/** What the choice of an endpoint needs to know of a request. */
+/** What is needed of a request to choose its endpoint. */
 export type PlacedRequest = {
     readonly service: ServiceName;
     readonly model: ModelName | undefined;
-    /** Prompt tokens that an endpoint would have to read itself or could fetch, holding these weights. */
+    /** Prompt tokens that an endpoint with these weights would have to prefill or could fetch. */
     readonly promptAt: (entry: EndpointEntry, weights: number | undefined) => PromptShare;
+    /** Endpoints that must not be chosen. */
     readonly avoid: ReadonlySet<EndpointName>;
 };
--- a/packages/router/src/placement/PromptShare.ts
+++ b/packages/router/src/placement/PromptShare.ts
@@ -1,11 +1,11 @@
 import type { Tokens } from "@azureshunt/core";
 
-/** How an endpoint would come by the parts of a prompt that it does not hold. */
+/** How an endpoint would obtain the parts of a prompt that it has not cached. */
 export type PromptShare = {
-    /** To be read by the endpoint itself. */
+    /** Tokens that the endpoint would have to prefill. */
     readonly missingTokens: Tokens;
-    /** To be fetched from `source`. */
+    /** Tokens that it would fetch from `source`. */
     readonly fetchedTokens: Tokens;
-    /** `host:port` of the store or engine that holds more of the prompt; undefined where nothing does. */
+    /** `host:port` of the cache store or engine to fetch from; undefined if there is none. */
     readonly source: string | undefined;
 };
--- a/packages/router/src/placement/StartEstimate.ts
+++ b/packages/router/src/placement/StartEstimate.ts
@@ -1,9 +1,9 @@
 import type { Millis } from "@azureshunt/core";
 
-/** When an endpoint would begin its answer, as estimated. */
+/** Estimated times until an endpoint starts on a request and until its answer starts. */
 export type StartEstimate = {
-    /** Until it would turn to this request. */
+    /** Until the endpoint would start processing this request. */
     readonly queueMs: Millis;
-    /** Until its answer would begin. */
+    /** Until its answer would start; includes `queueMs`. */
     readonly startMs: Millis;
 };
--- a/packages/router/src/placement/chainOf.ts
+++ b/packages/router/src/placement/chainOf.ts
@@ -3,8 +3,8 @@
 import { hashText } from "./hashText.js";
 
 /**
- * Names the parts of a prompt so that equal names mean equal beginnings under the same salt. A part is of use only where
- * all before it are held too.
+ * Computes the keys of a prompt's parts. Equal keys mean equal prefixes under the same salt. A cached part is usable only
+ * if all parts before it are cached too.
  */
 export function chainOf(salt: string, parts: NonNullable<CallerRequest["prompt"]>["parts"]): readonly ChainPart[] {
     const prefix = { key: salt };
--- a/packages/router/src/placement/choosePlace.ts
+++ b/packages/router/src/placement/choosePlace.ts
@@ -4,50 +4,54 @@
 import { estimateStart } from "./estimateStart.js";
 import type { StartEstimate } from "./StartEstimate.js";
 
-/** From when on a request on replaced weights is worth less, and what that is weighed as. */
+/** Age of newer target weights from which an endpoint that is still on replaced weights costs more. */
 const OUTDATED_AFTER_MS = 1_200;
+/** Cost of running a request on weights replaced that long ago. */
 const OUTDATED_COST_MS = 250;
-/** What a failed try costs: a retry where one is allowed, the whole answer where not. */
+/** Cost of a failed try: a retry if one is allowed, otherwise the whole answer. */
 const FAILURE_COST_MS = 1_500;
-/** An endpoint that gives no sign of life is taken only when the others' queues are as long. */
+/** Cost per millisecond of silence: a silent endpoint is chosen only if the others' queues are about as long. */
 const SILENCE_WEIGHT = 2;
-/** A failure domain out of hearing costs so much at most: with none else in reach it is tried all the same. */
-const QUIET_LIMIT_MS = 3_000;
-/** VMs that see the same loads must not all choose the same endpoint; spread in milliseconds. */
+/** Maximum cost of a silent failure domain, so that it is still tried if no other is reachable. */
+const MAX_DOMAIN_SILENCE_COST_MS = 3_000;
+/** Random spread of costs, so that VMs that see the same loads do not all choose the same endpoint. */
 const JITTER_MS = 6;
 
-/** What a choice came to. */
+/** The chosen endpoint and its estimated start. */
 type Place = StartEstimate & { readonly candidate: Candidate; };
 
-const costOf = (candidate: Candidate, startMs: Millis, draw: number): number => {
+const costOf = (candidate: Candidate, startMs: Millis, jitter: number): number => {
     const isOutdated = candidate.outdatedMs !== undefined && candidate.outdatedMs > OUTDATED_AFTER_MS;
     return startMs
         + (isOutdated ? OUTDATED_COST_MS : 0)
         + candidate.health.failureRate * FAILURE_COST_MS
         + candidate.silentMs * SILENCE_WEIGHT
-        + Math.min(QUIET_LIMIT_MS, candidate.quietMs * SILENCE_WEIGHT)
-        + draw * JITTER_MS;
+        + Math.min(MAX_DOMAIN_SILENCE_COST_MS, candidate.domainSilentMs * SILENCE_WEIGHT)
+        + jitter * JITTER_MS;
 };
 
 /**
- * Chooses the endpoint of a request: the one whose answer costs the caller least, counting the queue before it, the
- * prompt tokens still to be read, replaced weights, recent failures and silence, all in milliseconds.
+ * Chooses the endpoint with the lowest cost for the caller: the estimated start of the answer (queue and prefill), plus
+ * penalties in milliseconds for replaced weights, recent failures and silence.
  *
- * Load: several VMs place long prompts on few engines at once, some of which hold the shared parts, some of which are
- * taking new weights or have fallen silent.
+ * Under load, several VMs place long prompts on few engines at once; some of these engines hold the shared parts, some
+ * are loading new weights or have become silent.
  *
  * @param candidates endpoints that may get the request
- * @param now to tell which are paused after failures; where all are, the one whose pause ends first is tried
- * @param random evenly distributed from 0 up to 1
+ * @param now determines which candidates are in backoff; if all are, the one whose backoff ends first is tried
+ * @param random uniformly distributed in [0, 1)
+ * @returns undefined if there are no candidates
  */
 export function choosePlace(
     candidates: readonly Candidate[],
     now: Millis,
     random: () => number,
 ): Place | undefined {
-    const up = candidates.filter(({ health }) => health.downUntil <= now);
-    const soonest = Math.min(...candidates.map(({ health }) => health.downUntil));
-    const usable = up.length > 0 ? up : candidates.filter(({ health }) => health.downUntil === soonest);
+    const available = candidates.filter(({ health }) => health.backoffUntil <= now);
+    const earliestEnd = Math.min(...candidates.map(({ health }) => health.backoffUntil));
+    const usable = available.length > 0
+        ? available
+        : candidates.filter(({ health }) => health.backoffUntil === earliestEnd);
     return usable
         .map(candidate => ({ candidate, ...estimateStart(candidate) }))
         .map(place => ({ place, cost: costOf(place.candidate, place.startMs, random()) }))
--- a/packages/router/src/placement/createChainMemory.ts
+++ b/packages/router/src/placement/createChainMemory.ts
@@ -3,101 +3,102 @@
 import type { ChainPart } from "./ChainPart.js";
 import type { HolderLimits } from "./HolderLimits.js";
 
-/** Who may hold parts of prompts: engines by name, and the store of cached parts by its address. */
-type ChainHolder = EndpointName | string;
+/** A holder of cached prompt parts: an engine by name, or the cache store by its address. */
+type PrefixHolder = EndpointName | string;
 
-/** A holder, and how many tokens at the beginning of one prompt it has. */
-type HeldChain = { readonly holder: ChainHolder; readonly tokens: Tokens; };
+/** A holder, and the length of the prefix of one prompt that it has cached. */
+type HeldPrefix = { readonly holder: PrefixHolder; readonly tokens: Tokens; };
 
-/** Remembers which beginnings of prompts engines and the cache store have read or taken lately. */
-type ChainMemory = {
-    /** All who hold the beginning of a prompt. */
-    readonly holders: (chain: readonly ChainPart[], now: Millis) => readonly HeldChain[];
-    /** Notes that the holder has read or taken these parts; the other VMs are told. */
-    readonly note: (holder: ChainHolder, chain: readonly ChainPart[], now: Millis) => void;
-    /** Notes what another VM told. */
-    readonly hear: (holder: ChainHolder, parts: readonly ChainPart[], now: Millis) => void;
-    /** What was noted since the last call, for the other VMs. */
-    readonly takeNews: () => readonly (readonly [ChainHolder, readonly ChainPart[]])[];
-    /** Forgets all that a holder had. */
-    readonly forget: (holder: ChainHolder) => void;
+/** Records which prompt prefixes engines and the cache store have cached recently. */
+type PrefixIndex = {
+    /** All holders of a prefix of the prompt. */
+    readonly holders: (chain: readonly ChainPart[], now: Millis) => readonly HeldPrefix[];
+    /** Records that the holder has prefilled or stored these parts, and queues an update for the peers. */
+    readonly note: (holder: PrefixHolder, chain: readonly ChainPart[], now: Millis) => void;
+    /** Records parts that a peer reported. */
+    readonly hear: (holder: PrefixHolder, parts: readonly ChainPart[], now: Millis) => void;
+    /** Returns and clears what this VM has recorded since the last call, to be sent to the peers. */
+    readonly takeNews: () => readonly (readonly [PrefixHolder, readonly ChainPart[]])[];
+    /** Removes all parts of a holder. */
+    readonly forget: (holder: PrefixHolder) => void;
 };
 
-type RememberedPart = { readonly tokens: Tokens; readonly usedAt: Millis; };
+type IndexedPart = { readonly tokens: Tokens; readonly usedAt: Millis; };
 
-/** The parts of one holder, the one used longest ago first. */
-type HolderMemory = { readonly parts: Map<string, RememberedPart>; total: Tokens; };
+/** The parts of one holder, least recently used first, and the sum of their tokens. */
+type HolderIndex = { readonly parts: Map<string, IndexedPart>; total: Tokens; };
 
-/** Parts remembered for one holder, whatever its size: the store keeps far more than is worth remembering. */
-const PARTS_PER_HOLDER = 4_000;
+/** Bounds the index of one holder whatever its cache size: the store keeps far more parts than are worth indexing. */
+const MAX_PARTS_PER_HOLDER = 4_000;
 
-/** Takes a part out of the memory. */
-const drop = (memory: HolderMemory, key: string): void => {
-    memory.total -= memory.parts.get(key)?.tokens ?? 0;
-    memory.parts.delete(key);
+const drop = (index: HolderIndex, key: string): void => {
+    index.total -= index.parts.get(key)?.tokens ?? 0;
+    index.parts.delete(key);
 };
 
-/** Puts a part last, as the one used most recently. */
-const touch = (memory: HolderMemory, { key, tokens }: ChainPart, now: Millis): void => {
-    drop(memory, key);
-    memory.parts.set(key, { tokens, usedAt: now });
-    memory.total += tokens;
+/** Moves a part to the end, as the most recently used one. */
+const touch = (index: HolderIndex, { key, tokens }: ChainPart, now: Millis): void => {
+    drop(index, key);
+    index.parts.set(key, { tokens, usedAt: now });
+    index.total += tokens;
 };
 
-const isOver = ({ parts, total }: HolderMemory, size: Tokens): boolean => total > size || parts.size > PARTS_PER_HOLDER;
+const isOverLimit = ({ parts, total }: HolderIndex, size: Tokens): boolean =>
+    total > size || parts.size > MAX_PARTS_PER_HOLDER;
 
-const shrink = (memory: HolderMemory, size: Tokens): void => {
-    if (!isOver(memory, size)) {
+const shrink = (index: HolderIndex, size: Tokens): void => {
+    if (!isOverLimit(index, size)) {
         return;
     }
-    [...memory.parts.keys()].every(key => {
-        drop(memory, key);
-        return isOver(memory, size);
+    [...index.parts.keys()].every(key => {
+        drop(index, key);
+        return isOverLimit(index, size);
     });
 };
 
 /**
- * Makes an empty memory of cached beginnings of prompts. Each holder's memory is followed as the holder keeps it: the parts
- * used longest ago make room for new ones.
+ * Creates an empty prefix index. It follows the eviction of each holder's cache: the least recently used parts make room
+ * for new ones.
  *
- * Load: long prompts under full traffic. Where a dozen of them fill an engine, a shared part is gone from it within three
- * seconds; counted on for longer, it is neither fetched nor saved, and the engine reads it again.
+ * Under full traffic with long prompts, a dozen of them fill an engine, which then evicts a shared part within three
+ * seconds. If the part still counted as cached, it would be neither fetched nor saved, and the engine would prefill it
+ * again.
  *
- * @param limitsOf what a holder can keep, by its name
+ * @param limitsOf returns what a holder can keep
  */
-export function createChainMemory(limitsOf: (holder: ChainHolder) => HolderLimits): ChainMemory {
-    const all = new Map<ChainHolder, HolderMemory>();
-    const news = { current: new Map<ChainHolder, Map<string, Tokens>>() };
+export function createChainMemory(limitsOf: (holder: PrefixHolder) => HolderLimits): PrefixIndex {
+    const all = new Map<PrefixHolder, HolderIndex>();
+    const updates = { current: new Map<PrefixHolder, Map<string, Tokens>>() };
 
-    const holders: ChainMemory["holders"] = (chain, now) =>
+    const holders: PrefixIndex["holders"] = (chain, now) =>
         [...all].flatMap(([holder, { parts }]) => {
             const since = now - limitsOf(holder).keptMs;
             const missing = chain.findIndex(({ key }) => (parts.get(key)?.usedAt ?? -Infinity) < since);
-            const held = missing < 0 ? chain : chain.slice(0, missing);
-            return held.length === 0 ? [] : [{ holder, tokens: held.reduce((sum, { tokens }) => sum + tokens, 0) }];
+            const cached = missing < 0 ? chain : chain.slice(0, missing);
+            return cached.length === 0 ? [] : [{ holder, tokens: cached.reduce((sum, { tokens }) => sum + tokens, 0) }];
         });
-    const hear: ChainMemory["hear"] = (holder, parts, now) => {
-        const memory = all.get(holder) ?? { parts: new Map(), total: 0 };
-        all.set(holder, memory);
-        // A part is of no use without those before it, so the last one makes room first.
-        parts.toReversed().forEach(part => touch(memory, part, now));
-        shrink(memory, limitsOf(holder).size);
+    const hear: PrefixIndex["hear"] = (holder, parts, now) => {
+        const index = all.get(holder) ?? { parts: new Map(), total: 0 };
+        all.set(holder, index);
+        // A part is useless without those before it, so the last part of a prompt is evicted first.
+        parts.toReversed().forEach(part => touch(index, part, now));
+        shrink(index, limitsOf(holder).size);
     };
-    const note: ChainMemory["note"] = (holder, chain, now) => {
+    const note: PrefixIndex["note"] = (holder, chain, now) => {
         hear(holder, chain, now);
-        const told = news.current.get(holder) ?? new Map<string, Tokens>();
-        // The request's own last part is told as well: nobody asks for it, but it takes room.
-        chain.forEach(({ key, tokens }) => told.set(key, tokens));
-        news.current.set(holder, told);
+        const pending = updates.current.get(holder) ?? new Map<string, Tokens>();
+        // The last part belongs to this request alone. It is sent too, as it takes up room in the cache.
+        chain.forEach(({ key, tokens }) => pending.set(key, tokens));
+        updates.current.set(holder, pending);
     };
-    const takeNews: ChainMemory["takeNews"] = () => {
-        const taken = [...news.current].map(([holder, told]) =>
-            [holder, [...told].map(([key, tokens]) => ({ key, tokens }))] as const
+    const takeNews: PrefixIndex["takeNews"] = () => {
+        const drained = [...updates.current].map(([holder, pending]) =>
+            [holder, [...pending].map(([key, tokens]) => ({ key, tokens }))] as const
         );
-        news.current = new Map();
-        return taken;
+        updates.current = new Map();
+        return drained;
     };
-    const forget: ChainMemory["forget"] = holder => {
+    const forget: PrefixIndex["forget"] = holder => {
         all.delete(holder);
     };
     return { holders, note, hear, takeNews, forget };
--- a/packages/router/src/placement/createDemand.ts
+++ b/packages/router/src/placement/createDemand.ts
@@ -1,23 +1,23 @@
 import type { Clock, Millis, Tokens } from "@azureshunt/core";
 
-/** Prompt tokens that callers send to this VM. */
+/** Rate of prompt tokens that callers send to this VM. */
 type Demand = {
     readonly note: (tokens: Tokens) => void;
-    /** Tokens a millisecond, over the last seconds. */
+    /** Prompt tokens per millisecond over the last seconds. */
     readonly rate: () => Tokens;
 };
 
-/** Long enough for single large prompts, short enough for a burst. */
+/** Long enough to smooth out single large prompts, short enough to follow a burst. */
 const WINDOW_MS: Millis = 2_000;
 
 /**
- * Measures the demand as a moving average that fades with time.
+ * Measures demand as an exponentially decaying average.
  *
- * @param windowMs over which it is averaged
+ * @param windowMs time constant of the decay
  */
 export function createDemand(clock: Clock, windowMs: Millis = WINDOW_MS): Demand {
     const state = { rate: 0, at: clock.now() };
-    const fade = (): number => {
+    const decay = (): number => {
         const now = clock.now();
         state.rate *= Math.exp(-(now - state.at) / windowMs);
         state.at = now;
@@ -25,8 +25,8 @@
     };
     return {
         note: tokens => {
-            state.rate = fade() + tokens / windowMs;
+            state.rate = decay() + tokens / windowMs;
         },
-        rate: fade,
+        rate: decay,
     };
 }
--- a/packages/router/src/placement/createEndpointBook.ts
+++ b/packages/router/src/placement/createEndpointBook.ts
@@ -10,63 +10,63 @@
 import type { EndpointEntry } from "../registry/EndpointEntry.js";
 import type { Registry } from "../registry/Registry.js";
 import { stepRegistry } from "../registry/stepRegistry.js";
-import { createDealings } from "./createDealings.js";
 import { createListeners } from "./createListeners.js";
-import type { Dealings } from "./Dealings.js";
+import { createObservations } from "./createObservations.js";
 import type { EndpointBook } from "./EndpointBook.js";
+import type { EndpointObservations } from "./EndpointObservations.js";
 import { healthAfterTry } from "./healthAfterTry.js";
 import { loadOf } from "./loadOf.js";
 import type { PromptShare } from "./PromptShare.js";
-import { takeSeat } from "./takeSeat.js";
+import { trackInFlight } from "./trackInFlight.js";
 
-type BookParts = {
+type EndpointTableParts = {
     readonly clock: Clock;
     readonly failureDomain: FailureDomain;
     readonly knowledge: () => Knowledge;
-    /** What the other VMs run at an endpoint, as they last told. */
+    /** Load of the peers at an endpoint, as they last reported it. */
     readonly othersAt: (endpoint: EndpointName) => EndpointShare;
-    /** How long a failure domain has been out of hearing; 0 for this VM's own. */
+    /** How long a failure domain has been silent; 0 for this VM's own. */
     readonly quietMs: (domain: FailureDomain) => Millis;
-    /** Engines whose weights were replaced longer ago get no requests. */
+    /** Engines whose weights were replaced longer ago than this get no requests. */
     readonly outdatedLimitMs: () => Millis;
-    /** This VM's view of an endpoint changed. */
+    /** Called when this VM's view of an endpoint changes. */
     readonly onChange: (endpoint: EndpointName, change: EndpointChange, inputs: object) => void;
-    /** An endpoint has left, or another run of it has begun: what it held is gone. */
+    /** Called when an endpoint has left or a new incarnation of it has started, which loses what it had cached. */
     readonly onGone: (endpoint: EndpointName) => void;
 };
 
 /** How a view of an endpoint changes. */
 type EndpointChange = "registered" | "leaving" | "gone" | "paused";
 
-/** An order given for so long counts as lost; the engine is then judged by what it shows. */
+/** An order not seen for this long counts as lost; the engine is then judged by the weights that it reports. */
 const ORDER_LOST_MS = 2_500;
 
-/** How much older an order may seem when it is told again: a beacon that was held up on a full link. */
-const RETOLD_MS: Millis = 500;
+/** How much older an order may seem when it is received again, as a beacon may be delayed on a full link. */
+const ORDER_AGE_TOLERANCE_MS: Millis = 500;
 
 const NO_PROMPT: PromptShare = { missingTokens: 0, fetchedTokens: 0, source: undefined };
 
 const servicesOf = (cfg: RoutingConfiguration | undefined): RoutingConfiguration["services"] =>
     cfg?.services ?? new Map();
 
-/** Keeps what is known of the endpoints: the registry's entries, and this VM's own dealings with them. */
-export function createEndpointBook(parts: BookParts): EndpointBook {
+/** Creates the endpoint table from the registry's entries and this VM's own observations. */
+export function createEndpointBook(parts: EndpointTableParts): EndpointBook {
     const { clock, knowledge } = parts;
-    const book = {
+    const state = {
         registry: emptyRegistry as Registry,
         digest: digestOfRegistry(emptyRegistry),
         serviceByAddress: new Map<string, ServiceName>(),
     };
-    const dealings = createDealings(parts.onGone);
+    const observations = createObservations(parts.onGone);
     const orderListeners = createListeners<EndpointName>();
 
     const versionAt = (entry: EndpointEntry, model: ModelName | undefined): number | undefined =>
         model === undefined || !entry.versions.has(model)
             ? undefined
-            : Math.max(entry.versions.get(model) ?? 0, dealings.of(entry).seenVersion);
+            : Math.max(entry.versions.get(model) ?? 0, observations.of(entry).knownVersion);
 
     const orderAt = (entry: EndpointEntry, version: number | undefined): EngineOrder | undefined => {
-        const { order } = dealings.of(entry);
+        const { order } = observations.of(entry);
         const isOver = order === undefined || (version ?? 0) >= order.version
             || clock.now() - order.seenAt > ORDER_LOST_MS;
         return isOver ? undefined : order;
@@ -79,20 +79,20 @@
         return since === undefined ? undefined : clock.now() - since;
     };
 
-    const tellRegistry: EndpointBook["tellRegistry"] = event => {
-        const before = book.registry;
-        book.registry = stepRegistry(before, event, clock.now());
-        if (book.registry.endpoints === before.endpoints) {
+    const applyRegistryEvent: EndpointBook["applyRegistryEvent"] = event => {
+        const before = state.registry;
+        state.registry = stepRegistry(before, event, clock.now());
+        if (state.registry.endpoints === before.endpoints) {
             return;
         }
-        book.digest = digestOfRegistry(book.registry);
-        const entries = [...book.registry.endpoints.values()];
-        book.serviceByAddress = new Map(entries.map(({ entry: { address, service } }) => [address, service]));
-        [...before.endpoints.keys()].filter(name => !book.registry.endpoints.has(name)).forEach(name => {
-            dealings.drop(name);
+        state.digest = digestOfRegistry(state.registry);
+        const entries = [...state.registry.endpoints.values()];
+        state.serviceByAddress = new Map(entries.map(({ entry: { address, service } }) => [address, service]));
+        [...before.endpoints.keys()].filter(name => !state.registry.endpoints.has(name)).forEach(name => {
+            observations.drop(name);
             parts.onChange(name, "gone", { registry: event.kind });
         });
-        [...book.registry.endpoints.values()].forEach(({ entry }) => {
+        [...state.registry.endpoints.values()].forEach(({ entry }) => {
             const known = before.endpoints.get(entry.name)?.entry;
             if (known === undefined || known.isLeaving !== entry.isLeaving) {
                 const { service, failureDomain, bornAt } = entry;
@@ -108,68 +108,68 @@
     const candidates: EndpointBook["candidates"] = request => {
         const now = clock.now();
         const engine = servicesOf(knowledge().configuration).get(request.service)?.engine;
-        return [...book.registry.endpoints.values()]
+        return [...state.registry.endpoints.values()]
             .map(({ entry }) => entry)
             .filter(entry => entry.service === request.service && !entry.isLeaving && !request.avoid.has(entry.name))
             .filter(entry => request.model === undefined || entry.versions.has(request.model))
-            .map(entry => ({ entry, weights: versionAt(entry, request.model), own: dealings.of(entry) }))
+            .map(entry => ({ entry, weights: versionAt(entry, request.model), observed: observations.of(entry) }))
             .filter(({ entry, weights }) => orderAt(entry, weights) === undefined)
             .map(each => ({ ...each, outdatedMs: outdatedFor(request.model, each.weights) }))
             .filter(({ outdatedMs }) => (outdatedMs ?? 0) < parts.outdatedLimitMs())
-            .map(({ entry, weights, own, outdatedMs }) => ({
+            .map(({ entry, weights, observed, outdatedMs }) => ({
                 entry,
                 weights,
                 candidate: {
                     name: entry.name,
-                    health: own.health,
-                    isNear: entry.failureDomain === parts.failureDomain,
+                    health: observed.health,
+                    isSameDomain: entry.failureDomain === parts.failureDomain,
                     slots: engine?.slots ?? entry.slots,
                     memorySize: engine?.cacheTokens ?? 0,
                     ...(engine === undefined ? NO_PROMPT : request.promptAt(entry, weights)),
                     outdatedMs,
-                    quietMs: parts.quietMs(entry.failureDomain),
-                    ...loadOf(own.inFlight, parts.othersAt(entry.name), own.lastSignAt, now),
+                    domainSilentMs: parts.quietMs(entry.failureDomain),
+                    ...loadOf(observed.inFlight, parts.othersAt(entry.name), observed.lastActivityAt, now),
                 },
             }));
     };
 
     const begin: EndpointBook["begin"] = (endpoint, sizes) =>
-        takeSeat({
+        trackInFlight({
             clock,
-            own: dealings.last(endpoint),
+            observed: observations.last(endpoint),
             sizes,
-            onPaused: inputs => parts.onChange(endpoint, "paused", inputs),
+            onBackoff: inputs => parts.onChange(endpoint, "paused", inputs),
         });
 
-    const entryOf: EndpointBook["entryOf"] = endpoint => book.registry.endpoints.get(endpoint)?.entry;
+    const entryOf: EndpointBook["entryOf"] = endpoint => state.registry.endpoints.get(endpoint)?.entry;
 
-    const noteVersion = (own: Dealings, version: number): boolean => {
-        const isNews = version > own.seenVersion;
-        if (isNews) {
-            own.seenVersion = version;
-            own.seenVersionAt = clock.now();
+    const recordVersion = (observed: EndpointObservations, version: number): boolean => {
+        const isNewer = version > observed.knownVersion;
+        if (isNewer) {
+            observed.knownVersion = version;
+            observed.versionLearnedAt = clock.now();
         }
-        return isNews;
+        return isNewer;
     };
     const sawWeights: EndpointBook["sawWeights"] = (endpoint, version, ordersTaken) => {
         const entry = entryOf(endpoint);
         if (entry !== undefined) {
-            const own = dealings.of(entry);
-            noteVersion(own, version);
-            own.seenOrders = ordersTaken ?? own.seenOrders;
+            const observed = observations.of(entry);
+            recordVersion(observed, version);
+            observed.acceptedOrders = ordersTaken ?? observed.acceptedOrders;
         }
     };
     const heardWeights: EndpointBook["heardWeights"] = (endpoint, version) => {
         const entry = entryOf(endpoint);
-        // Noted as if seen now: those whom this VM passes news on to have to hear of it soon as well.
-        return entry !== undefined && noteVersion(dealings.of(entry), version);
+        // Recorded as learned now, so that a relay sends it on to its peers promptly as well.
+        return entry !== undefined && recordVersion(observations.of(entry), version);
     };
 
     const unreached: EndpointBook["unreached"] = endpoint => {
-        const own = dealings.last(endpoint);
-        if (own !== undefined) {
-            own.health = healthAfterTry(own.health, "unreached", clock.now());
-            const { unreachedInRow } = own.health;
+        const observed = observations.last(endpoint);
+        if (observed !== undefined) {
+            observed.health = healthAfterTry(observed.health, "unreached", clock.now());
+            const { unreachedInRow } = observed.health;
             parts.onChange(endpoint, "paused", { outcome: "unreached", unreachedInRow, by: "order" });
         }
     };
@@ -179,61 +179,66 @@
         if (entry === undefined) {
             return false;
         }
-        const own = dealings.of(entry);
-        // What another VM told is reckoned from its age, so that the same order seems to be a little older or younger.
-        const toleranceMs = own.order?.isOwn === true ? 0 : RETOLD_MS;
-        // A VM that held the lease before may still tell of its last orders; they must not hide the holder's.
-        if (order.givenAt < (own.order?.givenAt ?? -Infinity) - toleranceMs) {
+        const observed = observations.of(entry);
+        // The time of a peer's order is computed from its age, so the same order may seem a little older or newer.
+        const toleranceMs = observed.order?.isOwn === true ? 0 : ORDER_AGE_TOLERANCE_MS;
+        // A previous lease holder may still send its last orders; they must not replace those of the current holder.
+        if (order.givenAt < (observed.order?.givenAt ?? -Infinity) - toleranceMs) {
             return false;
         }
-        const isNew = order.version !== own.order?.version && order.version > own.seenVersion;
-        own.order = order;
+        const isNew = order.version !== observed.order?.version && order.version > observed.knownVersion;
+        observed.order = order;
         if (isNew) {
-            orderListeners.tell(endpoint);
+            orderListeners.notify(endpoint);
         }
         return isNew;
     };
 
-    const orderOver: EndpointBook["orderOver"] = (endpoint, givenAt) => {
-        const own = dealings.last(endpoint);
-        if (own?.order?.givenAt === givenAt) {
-            own.order = undefined;
+    const orderOver: EndpointBook["orderOver"] = (endpoint, issuedAt) => {
+        const observed = observations.last(endpoint);
+        if (observed?.order?.givenAt === issuedAt) {
+            observed.order = undefined;
         }
     };
 
-    const holdersOf = (model: ModelName): readonly EndpointEntry[] =>
-        [...book.registry.endpoints.values()]
+    const servingEntries = (model: ModelName): readonly EndpointEntry[] =>
+        [...state.registry.endpoints.values()]
             .map(({ entry }) => entry)
             .filter(entry => entry.versions.has(model) && !entry.isLeaving);
 
     const isAnyBehind: EndpointBook["isAnyBehind"] = (model, version) =>
-        holdersOf(model).some(entry => (versionAt(entry, model) ?? 0) < version);
+        servingEntries(model).some(entry => (versionAt(entry, model) ?? 0) < version);
 
     const engines: EndpointBook["engines"] = model =>
-        holdersOf(model)
+        servingEntries(model)
             .map(entry => {
-                const own = dealings.of(entry);
+                const observed = observations.of(entry);
                 const version = versionAt(entry, model) ?? 0;
-                const { running } = loadOf(own.inFlight, parts.othersAt(entry.name), own.lastSignAt, clock.now());
+                const { running } = loadOf(
+                    observed.inFlight,
+                    parts.othersAt(entry.name),
+                    observed.lastActivityAt,
+                    clock.now(),
+                );
                 return {
                     endpoint: entry.name,
                     version,
                     outdatedMs: outdatedFor(model, version) ?? 0,
-                    ordersTaken: own.seenOrders,
+                    ordersTaken: observed.acceptedOrders,
                     order: orderAt(entry, version),
                     running,
-                    // Only a try shows that an engine is back, and on old weights it gets none but an order; waiting for
-                    // another sign would leave it on them for ever. The pause after each failed one grows.
-                    isUp: own.health.downUntil <= clock.now(),
+                    // Only a call shows that an engine is back, and on outdated weights it gets no call but an order.
+                    // Waiting for other activity would leave it on them forever. The backoff grows with each failed order.
+                    isUp: observed.health.backoffUntil <= clock.now(),
                 };
             });
 
     return {
-        isKnown: () => book.registry.isKnown,
-        size: () => book.registry.endpoints.size,
-        answeredAt: () => book.registry.answeredAt,
-        registryDigest: () => book.digest,
-        tellRegistry,
+        isKnown: () => state.registry.isKnown,
+        size: () => state.registry.endpoints.size,
+        answeredAt: () => state.registry.answeredAt,
+        registryDigest: () => state.digest,
+        applyRegistryEvent,
         candidates,
         begin,
         unreached,
@@ -244,30 +249,30 @@
         onOrdered: orderListeners.add,
         isAnyBehind,
         engines,
-        serviceAt: address => book.serviceByAddress.get(address),
+        serviceAt: address => state.serviceByAddress.get(address),
         entryOf,
         ownShares: () =>
-            dealings.all().filter(([, own]) => own.inFlight.length > 0).map(([name, own]) => {
+            observations.all().filter(([, observed]) => observed.inFlight.length > 0).map(([name, observed]) => {
                 const { running, waitingTokens, memoryTokens } = loadOf(
-                    own.inFlight,
+                    observed.inFlight,
                     undefined,
-                    own.lastSignAt,
+                    observed.lastActivityAt,
                     clock.now(),
                 );
                 return [name, { running, waitingTokens, memoryTokens }] as const;
             }),
         ownOrders: () =>
-            [...book.registry.endpoints.values()].flatMap(({ entry }) => {
-                const { order, seenVersion } = dealings.of(entry);
-                return order?.isOwn === true && orderAt(entry, seenVersion) !== undefined
+            [...state.registry.endpoints.values()].flatMap(({ entry }) => {
+                const { order, knownVersion } = observations.of(entry);
+                return order?.isOwn === true && orderAt(entry, knownVersion) !== undefined
                     ? [[entry.name, order.version, clock.now() - order.givenAt] as const]
                     : [];
             }),
         heldVersions: () =>
-            dealings.all().filter(([, own]) => own.seenVersion > 0).map(([endpoint, own]) => ({
+            observations.all().filter(([, observed]) => observed.knownVersion > 0).map(([endpoint, observed]) => ({
                 endpoint,
-                version: own.seenVersion,
-                seenAt: own.seenVersionAt,
+                version: observed.knownVersion,
+                seenAt: observed.versionLearnedAt,
             })),
     };
 }
--- a/packages/router/src/placement/createListeners.ts
+++ b/packages/router/src/placement/createListeners.ts
@@ -1,24 +1,24 @@
-/** Listeners by what they listen to. */
+/** Listeners by key. */
 type Listeners<K> = {
-    /** @returns a function that takes the listener out */
+    /** @returns a function that removes the listener */
     readonly add: (key: K, listener: () => void) => () => void;
     /** Calls all listeners of a key. */
-    readonly tell: (key: K) => void;
+    readonly notify: (key: K) => void;
 };
 
-/** Makes an empty table of listeners. */
+/** Creates an empty table of listeners. */
 export function createListeners<K>(): Listeners<K> {
     const all = new Map<K, ReadonlySet<() => void>>();
     const add: Listeners<K>["add"] = (key, listener) => {
         all.set(key, new Set([...all.get(key) ?? [], listener]));
         return () => {
-            const left = [...all.get(key) ?? []].filter(each => each !== listener);
-            if (left.length === 0) {
+            const remaining = [...all.get(key) ?? []].filter(each => each !== listener);
+            if (remaining.length === 0) {
                 all.delete(key);
                 return;
             }
-            all.set(key, new Set(left));
+            all.set(key, new Set(remaining));
         };
     };
-    return { add, tell: key => all.get(key)?.forEach(listener => listener()) };
+    return { add, notify: key => all.get(key)?.forEach(listener => listener()) };
 }
--- /dev/null
+++ b/packages/router/src/placement/createObservations.ts
@@ -0,0 +1,50 @@
+import type { EndpointName } from "@azureshunt/core";
+
+import type { EndpointEntry } from "../registry/EndpointEntry.js";
+import type { EndpointObservations } from "./EndpointObservations.js";
+import { initialHealth } from "./initialHealth.js";
+
+/** This VM's observations of all endpoints. */
+type Observations = {
+    /** Returns the observations of the incarnation that the entry names, initial ones if it differs from the known one. */
+    readonly of: (entry: EndpointEntry) => EndpointObservations;
+    /** Returns the observations of the last known incarnation; undefined if there are none. */
+    readonly last: (endpoint: EndpointName) => EndpointObservations | undefined;
+    readonly all: () => readonly (readonly [EndpointName, EndpointObservations])[];
+    readonly drop: (endpoint: EndpointName) => void;
+};
+
+/**
+ * Creates an empty table of observations by endpoint.
+ *
+ * @param onGone called when an endpoint has left or a new incarnation of it has started, which loses what it had cached
+ */
+export function createObservations(onGone: (endpoint: EndpointName) => void): Observations {
+    const all = new Map<EndpointName, EndpointObservations>();
+    const of: Observations["of"] = entry => {
+        const known = all.get(entry.name);
+        if (known?.bornAt === entry.bornAt) {
+            return known;
+        }
+        if (known !== undefined) {
+            onGone(entry.name);
+        }
+        const created: EndpointObservations = {
+            bornAt: entry.bornAt,
+            health: initialHealth,
+            inFlight: [],
+            lastActivityAt: -Infinity,
+            knownVersion: 0,
+            versionLearnedAt: -Infinity,
+            acceptedOrders: 0,
+            order: undefined,
+        };
+        all.set(entry.name, created);
+        return created;
+    };
+    const drop: Observations["drop"] = endpoint => {
+        all.delete(endpoint);
+        onGone(endpoint);
+    };
+    return { of, last: endpoint => all.get(endpoint), all: () => [...all], drop };
+}
--- a/packages/router/src/placement/estimateStart.ts
+++ b/packages/router/src/placement/estimateStart.ts
@@ -2,37 +2,39 @@
 import type { StartEstimate } from "./StartEstimate.js";
 
 /**
- * Prompt tokens that an engine reads in a millisecond: three quarters of the sheets' 82, as it reads in pieces between the
- * tokens of running requests.
+ * Prompt tokens that an engine prefills per millisecond: three quarters of the 82 in the deployment specification, as it
+ * prefills in pieces between the tokens of running requests.
  */
-const TOKENS_PER_MS = 60;
-/** From the last token read to the first one made, from the sheets. */
+const PREFILL_TOKENS_PER_MS = 60;
+/** From the last prefilled token to the first generated one, from the deployment specification. */
 const FIRST_TOKEN_MS = 45;
-/** Until memory is free, when an engine's is full: half a usual run. */
-const FULL_MS = 400;
-/** Tokens that are fetched in a millisecond from another engine or the store, over its link and with the waiting for it. */
-const FETCHED_PER_MS = 300;
-/** What each running request adds to the steps of an engine, in milliseconds over a prompt's reading. */
-const RUNNING_MS = 1.5;
-/** One plain request before this one: the sheets' mean of work, spread over the slots. */
+/** Wait for free memory if an engine's KV cache is full: half the duration of a usual request. */
+const MEMORY_WAIT_MS = 400;
+/** Tokens fetched per millisecond from another engine or the store, including the wait for its link. */
+const FETCHED_TOKENS_PER_MS = 300;
+/** Delay that each running request adds to the prefill of a prompt, as it makes the engine's steps longer. */
+const RUNNING_REQUEST_MS = 1.5;
+/** Delay by one plain request ahead: the mean work from the deployment specification, spread over the slots. */
 const PLAIN_WORK_MS = 21;
-/** A round trip to another failure domain, and the price of its bytes. */
-const FAR_MS = 4;
+/** A round trip to another failure domain, and the cost of its traffic. */
+const REMOTE_DOMAIN_MS = 4;
 
-/** Estimates when an endpoint would begin its answer. */
+/** Estimates when an endpoint would start processing a request and start its answer. */
 export function estimateStart(candidate: Candidate): StartEstimate {
     const { running, slots, waitingTokens, missingTokens, fetchedTokens, memorySize, memoryTokens } = candidate;
-    const distance = candidate.isNear ? 0 : FAR_MS;
+    const distanceMs = candidate.isSameDomain ? 0 : REMOTE_DOMAIN_MS;
     if (memorySize === 0) {
         const queued = Math.max(0, running + 1 - slots);
-        // A share of the work for each running request keeps the load even below the slots, where endpoints slow down.
-        const queueMs = distance + PLAIN_WORK_MS * (queued + running / slots);
+        // Adding a share of the work for each running request balances load below the slot limit too, where endpoints
+        // already slow down.
+        const queueMs = distanceMs + PLAIN_WORK_MS * (queued + running / slots);
         return { queueMs, startMs: queueMs };
     }
-    const ownReading = missingTokens / TOKENS_PER_MS + fetchedTokens / FETCHED_PER_MS;
-    const excess = memoryTokens - memorySize;
-    const overflow = excess > 0 ? FULL_MS + excess / TOKENS_PER_MS : 0;
-    const queued = Math.max(0, running + 1 - slots) * RUNNING_MS * slots;
-    const queueMs = distance + waitingTokens / TOKENS_PER_MS + running * RUNNING_MS + overflow + queued;
-    return { queueMs, startMs: queueMs + ownReading + FIRST_TOKEN_MS };
+    const prefillMs = missingTokens / PREFILL_TOKENS_PER_MS + fetchedTokens / FETCHED_TOKENS_PER_MS;
+    const excessTokens = memoryTokens - memorySize;
+    const memoryWaitMs = excessTokens > 0 ? MEMORY_WAIT_MS + excessTokens / PREFILL_TOKENS_PER_MS : 0;
+    const queued = Math.max(0, running + 1 - slots) * RUNNING_REQUEST_MS * slots;
+    const queueMs = distanceMs + waitingTokens / PREFILL_TOKENS_PER_MS + running * RUNNING_REQUEST_MS + memoryWaitMs +
+        queued;
+    return { queueMs, startMs: queueMs + prefillMs + FIRST_TOKEN_MS };
 }
--- a/packages/router/src/placement/hashText.ts
+++ b/packages/router/src/placement/hashText.ts
@@ -4,13 +4,13 @@
 const PRIME_B = 1_597_334_677;
 const SHIFT = 16;
 const TWO_32 = 4_294_967_296;
-/** Bits of the second half that fit into a whole number beside the first. */
+/** Bits of the second half that fit into a safe integer beside the 32 of the first. */
 const LOW_BITS = 0x1fffff;
 const RADIX = 36;
 
 /**
- * Hashes a text to 53 bits, written with ten or eleven characters. For names in messages only: nothing that has to be
- * kept apart for safety is told apart by it.
+ * Hashes a text to 53 bits, written with ten or eleven characters. Not cryptographic: used only for names in messages,
+ * never to separate what must be kept apart for security.
  */
 export function hashText(text: string): string {
     const hash = { a: SEED_A, b: SEED_B };
--- a/packages/router/src/placement/healthAfterTry.ts
+++ b/packages/router/src/placement/healthAfterTry.ts
@@ -3,45 +3,49 @@
 import type { TryOutcome } from "../dispatch/TryOutcome.js";
 import type { EndpointHealth } from "./EndpointHealth.js";
 
-/** Weight of the newest try: after four failures in a row the rate is above two thirds, after four good ones below a quarter. */
-const NEWEST = 0.25;
-/** First pause of an endpoint that can't be reached, doubled with each further try; a crashed one is back after seconds. */
-const FIRST_PAUSE_MS = 250;
-const LONGEST_PAUSE_MS = 2_000;
-/** Pause after a connection broke in mid-request: the endpoint may have crashed, and nothing says so for seconds. */
-const BROKEN_PAUSE_MS = 250;
+/** Weight of the newest try: four failures in a row raise the rate above 2/3; four successes then bring it below 1/4. */
+const NEWEST_WEIGHT = 0.25;
+/** First backoff of an unreachable endpoint, doubled with each further try. A crashed endpoint is back after seconds. */
+const FIRST_BACKOFF_MS = 250;
+const MAX_BACKOFF_MS = 2_000;
+/** Backoff after a connection broke during a request: the endpoint may have crashed, which nothing reports for seconds. */
+const BROKEN_BACKOFF_MS = 250;
 
-const towards = (rate: number, sample: number): number => rate + (sample - rate) * NEWEST;
+const movingAverage = (rate: number, sample: number): number => rate + (sample - rate) * NEWEST_WEIGHT;
 
 /**
- * Takes the end of a try into an endpoint's health.
+ * Updates an endpoint's health with the outcome of a try.
  *
- * Load: an endpoint dies or fails part of its work while its health check is good. A dead one is left alone for a
- * pause that doubles and is then tried by single requests; one that fails in part keeps a part of the work, as its
- * failure rate is weighed against the others' queues.
+ * An endpoint may die or fail part of its requests while its health check passes. A dead endpoint gets no requests for a
+ * backoff that doubles, and is then tried by single requests. One that fails some requests keeps part of the load, as its
+ * failure rate is weighed against the queues of the others.
  */
 export function healthAfterTry(health: EndpointHealth, outcome: TryOutcome, now: Millis): EndpointHealth {
     switch (outcome) {
         case "answered":
-            return { failureRate: towards(health.failureRate, 0), unreachedInRow: 0, downUntil: health.downUntil };
+            return {
+                failureRate: movingAverage(health.failureRate, 0),
+                unreachedInRow: 0,
+                backoffUntil: health.backoffUntil,
+            };
         case "refused":
         case "elsewhere":
         case "cancelled":
         case "moved":
             return { ...health, unreachedInRow: 0 };
         case "unreached": {
-            const pause = Math.min(LONGEST_PAUSE_MS, FIRST_PAUSE_MS * 2 ** health.unreachedInRow);
-            return { ...health, unreachedInRow: health.unreachedInRow + 1, downUntil: now + pause };
+            const backoffMs = Math.min(MAX_BACKOFF_MS, FIRST_BACKOFF_MS * 2 ** health.unreachedInRow);
+            return { ...health, unreachedInRow: health.unreachedInRow + 1, backoffUntil: now + backoffMs };
         }
         case "broken":
         case "silent":
             return {
                 ...health,
-                failureRate: towards(health.failureRate, 1),
-                downUntil: Math.max(health.downUntil, now + BROKEN_PAUSE_MS),
+                failureRate: movingAverage(health.failureRate, 1),
+                backoffUntil: Math.max(health.backoffUntil, now + BROKEN_BACKOFF_MS),
             };
         case "failed":
         case "garbled":
-            return { ...health, failureRate: towards(health.failureRate, 1) };
+            return { ...health, failureRate: movingAverage(health.failureRate, 1) };
     }
 }
--- a/packages/router/src/placement/sampleCandidates.ts
+++ b/packages/router/src/placement/sampleCandidates.ts
@@ -1,10 +1,10 @@
 import { peerTiming } from "../peers/peerTiming.js";
 import type { Candidate } from "./Candidate.js";
 
-/** Candidates drawn at random. Two halve the longest queue where load is known late; more also find the faster engines. */
-const DRAWN = 4;
-/** Candidates with the least to read besides, so that a prompt still comes to engines that hold its parts. */
-const HOLDERS = 2;
+/** Candidates drawn at random. With outdated load, two halve the longest queue; more also find the faster engines. */
+const DRAWN_COUNT = 4;
+/** Further candidates with the least to prefill, so that a prompt still reaches engines that have its prefix cached. */
+const HOLDER_COUNT = 2;
 
 const draw = (candidates: readonly Candidate[], count: number, random: () => number): readonly Candidate[] =>
     candidates
@@ -13,26 +13,32 @@
         .slice(0, count)
         .map(({ candidate }) => candidate);
 
-const holdersOf = (candidates: readonly Candidate[]): readonly Candidate[] => {
+const prefixHoldersOf = (candidates: readonly Candidate[]): readonly Candidate[] => {
     const least = candidates.reduce((min, { missingTokens }) => Math.min(min, missingTokens), Infinity);
     return candidates.filter(({ missingTokens, fetchedTokens }) => missingTokens === least && fetchedTokens === 0);
 };
 
 /**
- * Draws the candidates among which a request's endpoint is chosen.
+ * Draws the candidates from which a request's endpoint is chosen.
  *
- * Load: dozens of VMs hear of each other's load a second late. Each sends all that comes in that second to the engine that
- * looked idle, so that queues go to and fro between engines: half of the long prompts were late on a quiet day. Best of a
- * few drawn at random spreads the choices, and mostly avoids the long queues.
+ * Dozens of VMs receive each other's load a second late. If each sent all requests of that second to the engine that looked
+ * idle, queues would swing between engines: half of the long prompts were late even under low load. Choosing the best of a
+ * few random candidates spreads the requests and mostly avoids long queues.
  *
- * @param choosers VMs that choose among these endpoints
+ * @param choosers number of VMs that choose among these endpoints; up to `peerTiming.fewVms` all candidates are returned
+ * @param random uniformly distributed in [0, 1)
  */
 export function sampleCandidates(
     candidates: readonly Candidate[],
     choosers: number,
     random: () => number,
 ): readonly Candidate[] {
-    return choosers <= peerTiming.fewVms || candidates.length <= DRAWN
+    return choosers <= peerTiming.fewVms || candidates.length <= DRAWN_COUNT
         ? candidates
-        : [...new Set([...draw(candidates, DRAWN, random), ...draw(holdersOf(candidates), HOLDERS, random)])];
+        : [
+            ...new Set([
+                ...draw(candidates, DRAWN_COUNT, random),
+                ...draw(prefixHoldersOf(candidates), HOLDER_COUNT, random),
+            ]),
+        ];
 }
--- /dev/null
+++ b/packages/router/src/placement/trackInFlight.ts
@@ -0,0 +1,56 @@
+import type { Clock, Millis, Tokens } from "@azureshunt/core";
+
+import type { EndpointObservations } from "./EndpointObservations.js";
+import { healthAfterTry } from "./healthAfterTry.js";
+import type { InFlight } from "./InFlight.js";
+import type { InFlightHandle } from "./InFlightHandle.js";
+
+type TrackingParts = {
+    readonly clock: Clock;
+    /** Undefined if the endpoint has left since it was chosen. */
+    readonly observed: EndpointObservations | undefined;
+    readonly sizes: { readonly missingTokens: Tokens; readonly memoryTokens: Tokens; readonly expectedMs: Millis; };
+    /** Called when the outcome of the try starts or extends the endpoint's backoff, with the values to log. */
+    readonly onBackoff: (inputs: object) => void;
+};
+
+/** An endpoint with activity within this time is busy; it has not stopped responding. */
+const ACTIVE_WITHIN_MS: Millis = 400;
+
+/** Tracks a request at an endpoint, from sending to end. */
+export function trackInFlight({ clock, observed, sizes, onBackoff }: TrackingParts): InFlightHandle {
+    const sentAt = clock.now();
+    const { expectedMs, ...tokens } = sizes;
+    const request: { current: InFlight; } = {
+        current: { sentAt, expectedAt: sentAt + expectedMs, ...tokens, isAnswering: false },
+    };
+    const replace = (next: InFlight | undefined): void => {
+        if (observed !== undefined) {
+            const others = observed.inFlight.filter(each => each !== request.current);
+            observed.inFlight = next === undefined ? others : [...others, next];
+            request.current = next ?? request.current;
+        }
+    };
+    replace(request.current);
+    return {
+        answering: () => replace({ ...request.current, isAnswering: true }),
+        sign: () => {
+            if (observed !== undefined) {
+                observed.lastActivityAt = clock.now();
+            }
+        },
+        isAlive: () => observed !== undefined && clock.now() - observed.lastActivityAt < ACTIVE_WITHIN_MS,
+        end: outcome => {
+            replace(undefined);
+            if (observed === undefined) {
+                return;
+            }
+            const { backoffUntil } = observed.health;
+            observed.health = healthAfterTry(observed.health, outcome, clock.now());
+            if (observed.health.backoffUntil > backoffUntil) {
+                const { failureRate, unreachedInRow } = observed.health;
+                onBackoff({ outcome, failureRate, unreachedInRow });
+            }
+        },
+    };
+}
--- a/packages/router/src/registry/EndpointEntry.ts
+++ b/packages/router/src/registry/EndpointEntry.ts
@@ -1,8 +1,8 @@
 import type { EndpointName, FailureDomain, ModelName, ServiceName } from "@azureshunt/core";
 
-/** What an endpoint says of itself in the registry. */
+/** An endpoint's own record in the registry. */
 export type EndpointEntry = {
-    /** New with each run of the endpoint, mostly. */
+    /** Usually new with each incarnation of the endpoint. */
     readonly name: EndpointName;
     readonly service: ServiceName;
     /** `host:port`. */
@@ -12,6 +12,6 @@
     readonly slots: number;
     /** Versions of the weights that it holds, by model. */
     readonly versions: ReadonlyMap<ModelName, number>;
-    /** Start of this run, in milliseconds since the epoch; tells two runs under one name apart. */
+    /** Start of this incarnation, in milliseconds since the epoch; distinguishes incarnations under one name. */
     readonly bornAt: number;
 };
--- a/packages/router/src/registry/Registry.ts
+++ b/packages/router/src/registry/Registry.ts
@@ -2,19 +2,20 @@
 
 import type { EndpointEntry } from "./EndpointEntry.js";
 
-/** An endpoint whose entry is there, or has just gone. */
+/** An endpoint whose entry is present or has just disappeared. */
 type Registered = {
     readonly entry: EndpointEntry;
-    /** Set while an entry is missing that may have lapsed only because the registry was away. */
+    /** Set while the entry is missing but may have expired only because the registry was unavailable. */
     readonly missingSince: Millis | undefined;
 };
 
-/** The endpoints, as the registry tells. */
+/** The endpoints according to the registry. */
 export type Registry = {
     readonly endpoints: ReadonlyMap<EndpointName, Registered>;
     /** Whether the registry has been read at all. */
     readonly isKnown: boolean;
-    /** When the registry last answered, and since when it has done so without a gap. */
+    /** When the registry last answered. */
     readonly answeredAt: Millis;
+    /** Since when it has answered without a gap. */
     readonly answeringSince: Millis;
 };
--- a/packages/router/src/registry/RegistryEvent.ts
+++ b/packages/router/src/registry/RegistryEvent.ts
@@ -2,16 +2,16 @@
 
 import type { EndpointEntry } from "./EndpointEntry.js";
 
-/** One record of the registry; without an entry the endpoint has left, or its entry lapsed. */
+/** One record of the registry. Without an entry, the endpoint has left or its entry has expired. */
 type RegistryChange = { readonly name: EndpointName; readonly entry: EndpointEntry | undefined; };
 
-/** What the registry says. */
+/** A change of what is known of the registry. */
 export type RegistryEvent =
-    /** All entries that there are. */
+    /** All current entries. */
     | { readonly kind: "whole"; readonly entries: readonly EndpointEntry[]; }
-    /** What changed since the last read, in order. */
+    /** The changes since the last read, in order. */
     | { readonly kind: "changes"; readonly changes: readonly RegistryChange[]; }
-    /** The entries known here were the registry's at this moment, as another VM told. */
+    /** A peer confirmed that the entries known here were current at this time. */
     | { readonly kind: "vouched"; readonly asOf: Millis; }
-    /** Time has passed. */
+    /** Checks for entries that have expired by now. */
     | { readonly kind: "tick"; };
--- a/packages/router/src/registry/digestOfRegistry.ts
+++ b/packages/router/src/registry/digestOfRegistry.ts
@@ -2,8 +2,8 @@
 import type { Registry } from "./Registry.js";
 
 /**
- * Names the entries that are there, so that VMs which read the same give the same name. Versions of weights are left out:
- * VMs tell each other those as they see them.
+ * Computes a digest of the present entries; VMs that have read the same entries get the same digest. Versions of weights
+ * are left out, as VMs send each other those as they observe them.
  */
 export function digestOfRegistry({ endpoints }: Pick<Registry, "endpoints">): string {
     const rows = [...endpoints.values()]
--- a/packages/router/src/registry/emptyRegistry.ts
+++ b/packages/router/src/registry/emptyRegistry.ts
@@ -1,6 +1,6 @@
 import type { Registry } from "./Registry.js";
 
-/** The registry as a process knows it at its start. */
+/** The registry before the first read. */
 const emptyRegistry: Registry = {
     endpoints: new Map(),
     isKnown: false,
--- a/packages/router/src/registry/registryDueIn.ts
+++ b/packages/router/src/registry/registryDueIn.ts
@@ -1,34 +1,34 @@
 import type { Millis } from "@azureshunt/core";
 
-import type { RegistryEvidence } from "./RegistryEvidence.js";
+import type { RegistryFreshness } from "./RegistryFreshness.js";
 
 /**
- * Part of the time for which a leaving endpoint still takes requests that passes between two reads. Endpoints write several
- * times a second in all, so waiting for a record would cost a call each time; the rest is for a read that is repeated, and
- * for requests on their way.
+ * Time between two reads, as a fraction of the time for which a leaving endpoint still takes requests. The rest of that
+ * time is for a read that must be repeated and for requests in transit. Reads do not wait for a record: endpoints together
+ * write several times a second, and each record would cost a call.
  */
-const READ_EVERY_PART = 0.35;
-/** The same for VMs that leave the reading to another one: some later, so that its word comes first. */
-const FOLLOW_PART = 0.5;
+const READ_INTERVAL_FRACTION = 0.35;
+/** The same for VMs that rely on a reader. Longer, so that the reader's beacon arrives first. */
+const FOLLOWER_INTERVAL_FRACTION = 0.5;
 
-type DueQuestion = {
-    readonly evidence: RegistryEvidence;
+type DueInputs = {
+    readonly freshness: RegistryFreshness;
     /** Whether this VM reads for the others. */
     readonly isReader: boolean;
-    /** How long an endpoint that leaves still takes requests. */
+    /** How long a leaving endpoint still takes requests. */
     readonly leavingMs: Millis;
 };
 
 /**
- * Says in how many milliseconds a VM has to read the registry; 0 or less means now.
+ * Returns in how many milliseconds a VM has to read the registry; 0 or less means now.
  *
- * Load: dozens of VMs read the same entries over and over, and nearly all reads show nothing new. One VM reads and tells
- * the others of which entries it did; these read only when they know other ones, or when its word gets old because it has
- * died or is cut off. So a cut failure domain reads for itself without anybody deciding so.
+ * With dozens of VMs reading the same entries, nearly all reads would return nothing new. So one VM reads and sends the
+ * digest of its entries to the others. These read only if their entries differ, or if the reader's last digest becomes too
+ * old because the reader died or is cut off. A failure domain that is cut off thus starts to read without any coordination.
  */
-export function registryDueIn({ evidence, isReader, leavingMs }: DueQuestion, now: Millis): Millis {
-    const oldest = evidence.asOf + (isReader ? READ_EVERY_PART : FOLLOW_PART) * leavingMs;
-    // Views that differ for long, as while entries are missing, lead to no more reads than a reader makes.
-    const doubted = evidence.askedAt + READ_EVERY_PART * leavingMs;
-    return (evidence.isDoubted ? Math.min(oldest, doubted) : oldest) - now;
+export function registryDueIn({ freshness, isReader, leavingMs }: DueInputs, now: Millis): Millis {
+    const dueByAge = freshness.asOf + (isReader ? READ_INTERVAL_FRACTION : FOLLOWER_INTERVAL_FRACTION) * leavingMs;
+    // If views differ for long, for example while entries are missing, this VM reads no more often than a reader does.
+    const dueIfContradicted = freshness.requestedAt + READ_INTERVAL_FRACTION * leavingMs;
+    return (freshness.isContradicted ? Math.min(dueByAge, dueIfContradicted) : dueByAge) - now;
 }
--- a/packages/router/src/registry/startRegistry.ts
+++ b/packages/router/src/registry/startRegistry.ts
@@ -11,10 +11,10 @@
 import { followTopic } from "../store/followTopic.js";
 import type { TopicAnswer } from "../store/TopicAnswer.js";
 import type { EndpointEntry } from "./EndpointEntry.js";
-import { noEvidence } from "./noEvidence.js";
+import { initialRegistryFreshness } from "./initialRegistryFreshness.js";
 import { registryDueIn } from "./registryDueIn.js";
-import type { RegistryEvidenceEvent } from "./RegistryEvidenceEvent.js";
-import { stepEvidence } from "./stepEvidence.js";
+import type { RegistryFreshnessEvent } from "./RegistryFreshnessEvent.js";
+import { stepRegistryFreshness } from "./stepRegistryFreshness.js";
 
 type RegistryParts = {
     readonly clock: Clock;
@@ -23,54 +23,56 @@
     readonly book: EndpointBook;
     readonly logger: Logger;
     readonly metrics: Metrics;
-    /** How long an endpoint that leaves still takes requests. */
+    /** How long a leaving endpoint still takes requests. */
     readonly leavingMs: () => Millis;
     /** Whether this VM reads the registry for the others. */
     readonly isReader: () => boolean;
-    /** Asks a relay for a topic; see `followTopic`. */
+    /** Reads a topic from a relay; see `followTopic`. */
     readonly askRelay: (topic: string, from: number | undefined) => Promise<TopicAnswer | undefined>;
+    /** Whether the first read still has to wait, as a relay may become available that answers it. */
     readonly isHeld: () => boolean;
-    /** Looks for a pause of the process, before an answer is taken as fresh or given. */
+    /** Checks for a suspension of the process, before an answer is accepted as fresh or sent. */
     readonly checkPause: () => void;
-    /** This VM has read the registry. */
+    /** Called when this VM has read the registry from the store itself. */
     readonly onRead: () => void;
 };
 
-/** Follows the endpoints' entries. */
 type RegistryKeeper = {
-    /** How old what is known of the entries can be at most, and their name, for the other VMs. */
+    /** Digest and maximum age of the known entries, to be sent to the peers; undefined until one is known. */
     readonly news: () => Beacon["registry"];
-    readonly hear: (heard: Heard) => void;
-    /** What a relay answers for the registry; undefined where it knows nothing fresh. */
+    /** Compares a peer's digest with this VM's own entries. */
+    readonly hear: (received: Heard) => void;
+    /** Returns the records that a relay sends to a peer on request; undefined if its view is not fresh. */
     readonly answer: (from: number | undefined) => TopicAnswer | undefined;
+    /** Discards the freshness of the view, as the process was suspended. */
     readonly pause: () => void;
     readonly stop: () => void;
 };
 
 const TICK_MS = 500;
-/** Part of the time for which a leaving endpoint still takes requests; a relay whose word is older gives none. */
-const ANSWERS_PART = 0.35;
+/** Age up to which a relay answers, as a fraction of the time for which a leaving endpoint still takes requests. */
+const MAX_ANSWER_AGE_FRACTION = 0.35;
 
-/** Follows the endpoints' entries in the store. */
+/** Follows the endpoints' entries in the store and applies them to the endpoint table. */
 export function startRegistry(parts: RegistryParts): RegistryKeeper {
     const { clock, wire, book, logger, metrics } = parts;
-    const held = { evidence: noEvidence };
-    const tell = (event: RegistryEvidenceEvent): void => {
-        held.evidence = stepEvidence(held.evidence, event);
+    const state = { freshness: initialRegistryFreshness };
+    const apply = (event: RegistryFreshnessEvent): void => {
+        state.freshness = stepRegistryFreshness(state.freshness, event);
     };
 
-    /** An entry that can't be read names no endpoint to use; it is counted and logged. */
+    /** An entry that cannot be decoded is counted, logged and treated as absent. */
     const decode = (key: string, value: Buffer | undefined): EndpointEntry | undefined =>
         value === undefined ? undefined : wire.decodeEntry(key, value).caseOf({
             Left: fault => {
                 metrics.count("azureshunt_unreadable_total", "Records that could not be read.", { what: "entry" });
-                logger.warn({ key, fault }, "An endpoint's entry cannot be read.");
+                logger.warn({ key, fault }, "Decoding an endpoint's registry entry failed.");
                 return undefined;
             },
             Right: entry => entry,
         });
 
-    /** Endpoints write over and over that they live; only what else an entry says is news. */
+    /** Endpoints rewrite their entries as heartbeats; only a change of the decoded entry counts. */
     const isSameEntry = (before: Buffer, now: Buffer): boolean =>
         JSON.stringify(wire.decodeEntry("", before).extract()) === JSON.stringify(wire.decodeEntry("", now).extract());
     const mirror = createTopicMirror(isSameEntry);
@@ -84,19 +86,19 @@
         isHeld: parts.isHeld,
         dueInMs: () =>
             registryDueIn(
-                { evidence: held.evidence, isReader: parts.isReader(), leavingMs: parts.leavingMs() },
+                { freshness: state.freshness, isReader: parts.isReader(), leavingMs: parts.leavingMs() },
                 clock.now(),
             ),
-        onNews: ({ records, end, isWhole, asOf, askedAt, isRelayed }) => {
+        onNews: ({ records, end, isWhole, asOf, askedAt: requestedAt, isRelayed }) => {
             parts.checkPause();
             mirror.note({ records, end, isWhole });
             const changes = records.map(({ key, value }) => ({ name: key as EndpointName, entry: decode(key, value) }));
-            book.tellRegistry(
+            book.applyRegistryEvent(
                 isWhole
                     ? { kind: "whole", entries: changes.flatMap(({ entry }) => entry === undefined ? [] : [entry]) }
                     : { kind: "changes", changes },
             );
-            tell({ kind: "read", askedAt, asOf });
+            apply({ kind: "read", requestedAt, asOf });
             if (!isRelayed) {
                 parts.onRead();
             }
@@ -108,32 +110,32 @@
             });
         },
     });
-    const timer = setInterval(() => book.tellRegistry({ kind: "tick" }), TICK_MS);
+    const timer = setInterval(() => book.applyRegistryEvent({ kind: "tick" }), TICK_MS);
     return {
         news: () =>
-            held.evidence.asOf === -Infinity
+            state.freshness.asOf === -Infinity
                 ? undefined
-                : { digest: book.registryDigest(), ageMs: clock.now() - held.evidence.asOf },
+                : { digest: book.registryDigest(), ageMs: clock.now() - state.freshness.asOf },
         hear: ({ beacon, sentAfter, stampedAt }) => {
             if (beacon.registry === undefined) {
                 return;
             }
             const asOf = sentAfter - beacon.registry.ageMs;
             const isSame = beacon.registry.digest === book.registryDigest();
-            const before = held.evidence;
-            tell({ kind: "told", isSame, asOf, stampedAt });
-            if (isSame && held.evidence !== before) {
-                book.tellRegistry({ kind: "vouched", asOf });
+            const before = state.freshness;
+            apply({ kind: "received", isSame, asOf, stampedAt });
+            if (isSame && state.freshness !== before) {
+                book.applyRegistryEvent({ kind: "vouched", asOf });
             }
         },
         answer: from => {
             parts.checkPause();
-            const ageMs = clock.now() - held.evidence.asOf;
-            const isFresh = !held.evidence.isDoubted && ageMs < ANSWERS_PART * parts.leavingMs();
+            const ageMs = clock.now() - state.freshness.asOf;
+            const isFresh = !state.freshness.isContradicted && ageMs < MAX_ANSWER_AGE_FRACTION * parts.leavingMs();
             const page = isFresh ? mirror.answer(from) : undefined;
             return page === undefined ? undefined : { ...page, ageMs };
         },
-        pause: () => tell({ kind: "paused", now: clock.now() }),
+        pause: () => apply({ kind: "suspended", now: clock.now() }),
         stop: () => {
             stopFollowing();
             clearInterval(timer);
