--- a/packages/router/src/placement/EndpointObservations.ts
+++ b/packages/router/src/placement/EndpointObservations.ts
@@ -10,7 +10,9 @@
     health: EndpointHealth;
     inFlight: readonly InFlight[];
     lastActivityAt: Millis;
-    /** Newest version known from answers, reports, orders and peers; the registry entry may be outdated. 0 until one is known. */
+    /**
+     * Newest version known from answers, reports, orders and peers; 0 until one is known. The registry entry may be outdated.
+     */
     knownVersion: number;
     /** When this VM learned of that version, from the engine or from a peer; `-Infinity` until then. */
     versionLearnedAt: Millis;
