--- a/packages/router/src/__tests__/support/bookOf.ts
+++ b/packages/router/src/__tests__/support/bookOf.ts
@@ -16,8 +16,8 @@
 };
 
 /**
- * Creates an endpoint table with one engine on version 1 of a model whose target has just become version 2. The test sets
- * the clock through `time`.
+ * Creates an endpoint table with one engine on version 1 of a model whose target has just become version 2. The test
+ * sets the clock through `time`.
  */
 export function bookOf(address = "10.0.0.1:80"): OneEngineTable {
     const model = "model" as ModelName;
--- a/packages/router/src/__tests__/support/evidenceFleet.ts
+++ b/packages/router/src/__tests__/support/evidenceFleet.ts
@@ -39,7 +39,7 @@
 const STORE_SEEN_MS = 3_300;
 const REVISION = 1;
 
-/** Runs VMs in virtual time that read declarations in rotation and confirm them to each other; nothing new is declared. */
+/** Runs VMs in virtual time that read declarations in rotation and confirm them to each other; none is new. */
 export function evidenceFleet(parts: SimulationParts): SimulationResult {
     const measured = { oldestMs: 0, oldestTurnedAwayMs: 0, reads: 0 };
     const states = new Map<VmId, VmState>();
--- a/packages/router/src/__tests__/unit/placement.test.ts
+++ b/packages/router/src/__tests__/unit/placement.test.ts
@@ -185,7 +185,7 @@
     });
 });
 
-test("prefix index of a full engine: parts used again stay, and the end of a prompt is evicted before its beginning", t => {
+test("prefix index of a full engine: reused parts stay, and the end of a prompt is evicted before its beginning", t => {
     const index = createChainMemory(() => ({ keptMs: 8_000, size: 30 }));
     const first = chainOf("w1", [{ id: "a", tokens: 10 }, { id: "b", tokens: 10 }]);
     index.note("e1", first, 0);
--- a/packages/router/src/__tests__/unit/sampleCandidates.test.ts
+++ b/packages/router/src/__tests__/unit/sampleCandidates.test.ts
@@ -47,7 +47,7 @@
 };
 
 // Dozens of VMs that receive load late all choose the same engines, and queues grow there.
-test("sampleCandidates: with outdated load, choosing among a few drawn engines halves the queues that prompts find", t => {
+test("sampleCandidates: with outdated load, choosing among a few drawn engines halves the queues", t => {
     const all = meanQueue(1);
     const drawn = meanQueue(CHOOSERS);
     t.true(drawn < all / 2, `${Math.round(drawn)} tokens before a prompt, ${Math.round(all)} without drawing`);
--- a/packages/router/src/placement/EndpointBook.ts
+++ b/packages/router/src/placement/EndpointBook.ts
@@ -48,8 +48,8 @@
      */
     readonly heardWeights: (endpoint: EndpointName, version: number) => boolean;
     /**
-     * Records a weights order that this VM or a peer issued, or that is still being carried out. An order older than the
-     * known one is ignored.
+     * Records a weights order that this VM or a peer issued, or that is still being carried out. An order older than
+     * the known one is ignored.
      *
      * @returns whether the order was accepted and an order for these weights was new to this VM
      */
@@ -62,7 +62,9 @@
      * @returns a function that removes the listener
      */
     readonly onOrdered: (endpoint: EndpointName, listener: () => void) => () => void;
-    /** Whether any engine of a model holds an older version. Called several times a second, so it checks nothing else. */
+    /**
+     * Whether any engine of a model holds an older version. Called several times a second, so it checks nothing else.
+     */
     readonly isAnyBehind: (model: ModelName, version: number) => boolean;
     /** Engines that serve a model and are not leaving. */
     readonly engines: (model: ModelName) => readonly EngineWeights[];
--- a/packages/router/src/placement/EndpointObservations.ts
+++ b/packages/router/src/placement/EndpointObservations.ts
@@ -11,7 +11,8 @@
     inFlight: readonly InFlight[];
     lastActivityAt: Millis;
     /**
-     * Newest version known from answers, reports, orders and peers; 0 until one is known. The registry entry may be outdated.
+     * Newest version known from answers, reports, orders and peers; 0 until one is known. The registry entry may be
+     * outdated.
      */
     knownVersion: number;
     /** When this VM learned of that version, from the engine or from a peer; `-Infinity` until then. */
--- a/packages/router/src/placement/chainOf.ts
+++ b/packages/router/src/placement/chainOf.ts
@@ -3,8 +3,8 @@
 import { hashText } from "./hashText.js";
 
 /**
- * Computes the keys of a prompt's parts. Equal keys mean equal prefixes under the same salt. A cached part is usable only
- * if all parts before it are cached too.
+ * Computes the keys of a prompt's parts. Equal keys mean equal prefixes under the same salt. A cached part is usable
+ * only if all parts before it are cached too.
  */
 export function chainOf(salt: string, parts: NonNullable<CallerRequest["prompt"]>["parts"]): readonly ChainPart[] {
     const prefix = { key: salt };
--- a/packages/router/src/placement/createChainMemory.ts
+++ b/packages/router/src/placement/createChainMemory.ts
@@ -57,8 +57,8 @@
 };
 
 /**
- * Creates an empty prefix index. It follows the eviction of each holder's cache: the least recently used parts make room
- * for new ones.
+ * Creates an empty prefix index. It follows the eviction of each holder's cache: the least recently used parts make
+ * room for new ones.
  *
  * Under full traffic with long prompts, a dozen of them fill an engine, which then evicts a shared part within three
  * seconds. If the part still counted as cached, it would be neither fetched nor saved, and the engine would prefill it
--- a/packages/router/src/placement/createEndpointBook.ts
+++ b/packages/router/src/placement/createEndpointBook.ts
@@ -228,7 +228,8 @@
                     order: orderAt(entry, version),
                     running,
                     // Only a call shows that an engine is back, and on outdated weights it gets no call but an order.
-                    // Waiting for other activity would leave it on them forever. The backoff grows with each failed order.
+                    // Waiting for other activity would leave it on them forever. The backoff grows with each failed
+                    // order.
                     isUp: observed.health.backoffUntil <= clock.now(),
                 };
             });
--- a/packages/router/src/placement/createObservations.ts
+++ b/packages/router/src/placement/createObservations.ts
@@ -6,7 +6,9 @@
 
 /** This VM's observations of all endpoints. */
 type Observations = {
-    /** Returns the observations of the incarnation that the entry names, initial ones if it differs from the known one. */
+    /**
+     * Returns the observations of the incarnation that the entry names, initial ones if it differs from the known one.
+     */
     readonly of: (entry: EndpointEntry) => EndpointObservations;
     /** Returns the observations of the last known incarnation; undefined if there are none. */
     readonly last: (endpoint: EndpointName) => EndpointObservations | undefined;
--- a/packages/router/src/placement/estimateStart.ts
+++ b/packages/router/src/placement/estimateStart.ts
@@ -2,8 +2,8 @@
 import type { StartEstimate } from "./StartEstimate.js";
 
 /**
- * Prompt tokens that an engine prefills per millisecond: three quarters of the 82 in the deployment specification, as it
- * prefills in pieces between the tokens of running requests.
+ * Prompt tokens that an engine prefills per millisecond: three quarters of the 82 in the deployment specification, as
+ * it prefills in pieces between the tokens of running requests.
  */
 const PREFILL_TOKENS_PER_MS = 60;
 /** From the last prefilled token to the first generated one, from the deployment specification. */
--- a/packages/router/src/placement/healthAfterTry.ts
+++ b/packages/router/src/placement/healthAfterTry.ts
@@ -3,12 +3,18 @@
 import type { TryOutcome } from "../dispatch/TryOutcome.js";
 import type { EndpointHealth } from "./EndpointHealth.js";
 
-/** Weight of the newest try: four failures in a row raise the rate above 2/3; four successes then bring it below 1/4. */
+/**
+ * Weight of the newest try: four failures in a row raise the rate above 2/3; four successes then bring it below 1/4.
+ */
 const NEWEST_WEIGHT = 0.25;
-/** First backoff of an unreachable endpoint, doubled with each further try. A crashed endpoint is back after seconds. */
+/**
+ * First backoff of an unreachable endpoint, doubled with each further try. A crashed endpoint is back after seconds.
+ */
 const FIRST_BACKOFF_MS = 250;
 const MAX_BACKOFF_MS = 2_000;
-/** Backoff after a connection broke during a request: the endpoint may have crashed, which nothing reports for seconds. */
+/**
+ * Backoff after a connection broke during a request: the endpoint may have crashed, which nothing reports for seconds.
+ */
 const BROKEN_BACKOFF_MS = 250;
 
 const movingAverage = (rate: number, sample: number): number => rate + (sample - rate) * NEWEST_WEIGHT;
@@ -16,9 +22,9 @@
 /**
  * Updates an endpoint's health with the outcome of a try.
  *
- * An endpoint may die or fail part of its requests while its health check passes. A dead endpoint gets no requests for a
- * backoff that doubles, and is then tried by single requests. One that fails some requests keeps part of the load, as its
- * failure rate is weighed against the queues of the others.
+ * An endpoint may die or fail part of its requests while its health check passes. A dead endpoint gets no requests for
+ * a backoff that doubles, and is then tried by single requests. One that fails some requests keeps part of the load, as
+ * its failure rate is weighed against the queues of the others.
  */
 export function healthAfterTry(health: EndpointHealth, outcome: TryOutcome, now: Millis): EndpointHealth {
     switch (outcome) {
--- a/packages/router/src/placement/limitsOfHolder.ts
+++ b/packages/router/src/placement/limitsOfHolder.ts
@@ -7,7 +7,8 @@
 /** Short, as an engine's cache also changes in ways that no VM reports, for example by preempted requests. */
 const ENGINE_EXPIRY_MS: Millis = 8_000;
 /**
- * The store may restart empty without any VM noticing. Its old parts expire after this time, so that they are saved again.
+ * The store may restart empty without any VM noticing. Its old parts expire after this time, so that they are saved
+ * again.
  */
 const STORE_EXPIRY_MS: Millis = 20_000;
 
--- a/packages/router/src/placement/loadOf.ts
+++ b/packages/router/src/placement/loadOf.ts
@@ -19,7 +19,8 @@
  * Computes how long an endpoint has been silent.
  *
  * If an endpoint stops responding and only requests are counted, it looks idle and attracts all new requests. Symptom:
- * streams stop first, as their events come every few milliseconds. An endpoint that is merely slow still shows activity.
+ * streams stop first, as their events come every few milliseconds. An endpoint that is merely slow still shows
+ * activity.
  */
 const silentMsOf = (inFlight: readonly InFlight[], lastActivityAt: Millis, now: Millis): Millis => {
     const due = inFlight.filter(each => each.isAnswering || now > each.expectedAt);
--- a/packages/router/src/placement/overloadWait.ts
+++ b/packages/router/src/placement/overloadWait.ts
@@ -18,13 +18,13 @@
 /**
  * Decides whether engines have room for a request now.
  *
- * Engines may crash or load new weights while callers send at full rate. If every request were admitted, waiting prompts
- * would fill the engines' memory, cached parts would be evicted and prefilled again, and all answers would be late for as
- * long as the load lasts. So requests that would be late anyway are refused at once; the others stay in time and the
- * queues drain. A large prompt is admitted by a nearly idle engine however long its prefill takes, as it would otherwise
- * be refused every time.
+ * Engines may crash or load new weights while callers send at full rate. If every request were admitted, waiting
+ * prompts would fill the engines' memory, cached parts would be evicted and prefilled again, and all answers would be
+ * late for as long as the load lasts. So requests that would be late anyway are refused at once; the others stay in
+ * time and the queues drain. A large prompt is admitted by a nearly idle engine however long its prefill takes, as it
+ * would otherwise be refused every time.
  *
- * @returns undefined if there is room; otherwise the overload delay in milliseconds, provided that the load stays the same
+ * @returns undefined if there is room; otherwise the overload delay in milliseconds, if the load stays the same
  */
 export function overloadWait({ queueMs, startMs, objectiveMs, isUrgent }: OverloadInputs): Millis | undefined {
     const ownMs = startMs - queueMs;
--- a/packages/router/src/placement/sampleCandidates.ts
+++ b/packages/router/src/placement/sampleCandidates.ts
@@ -21,11 +21,11 @@
 /**
  * Draws the candidates from which a request's endpoint is chosen.
  *
- * Dozens of VMs receive each other's load a second late. If each sent all requests of that second to the engine that looked
- * idle, queues would swing between engines: half of the long prompts were late even under low load. Choosing the best of a
- * few random candidates spreads the requests and mostly avoids long queues.
+ * Dozens of VMs receive each other's load a second late. If each sent all requests of that second to the engine that
+ * looked idle, queues would swing between engines: half of the long prompts were late even under low load. Choosing the
+ * best of a few random candidates spreads the requests and mostly avoids long queues.
  *
- * @param choosers number of VMs that choose among these endpoints; up to `peerTiming.fewVms` all candidates are returned
+ * @param choosers VMs that choose among these endpoints; up to `peerTiming.fewVms` all candidates are returned
  * @param random uniformly distributed in [0, 1)
  */
 export function sampleCandidates(
--- a/packages/router/src/registry/digestOfRegistry.ts
+++ b/packages/router/src/registry/digestOfRegistry.ts
@@ -2,8 +2,8 @@
 import type { Registry } from "./Registry.js";
 
 /**
- * Computes a digest of the present entries; VMs that have read the same entries get the same digest. Versions of weights
- * are left out, as VMs send each other those as they observe them.
+ * Computes a digest of the present entries; VMs that have read the same entries get the same digest. Versions of
+ * weights are left out, as VMs send each other those as they observe them.
  */
 export function digestOfRegistry({ endpoints }: Pick<Registry, "endpoints">): string {
     const rows = [...endpoints.values()]
--- a/packages/router/src/registry/registryDueIn.ts
+++ b/packages/router/src/registry/registryDueIn.ts
@@ -4,8 +4,8 @@
 
 /**
  * Time between two reads, as a fraction of the time for which a leaving endpoint still takes requests. The rest of that
- * time is for a read that must be repeated and for requests in transit. Reads do not wait for a record: endpoints together
- * write several times a second, and each record would cost a call.
+ * time is for a read that must be repeated and for requests in transit. Reads do not wait for a record: endpoints
+ * together write several times a second, and each record would cost a call.
  */
 const READ_INTERVAL_FRACTION = 0.35;
 /** The same for VMs that rely on a reader. Longer, so that the reader's beacon arrives first. */
@@ -23,8 +23,9 @@
  * Returns in how many milliseconds a VM has to read the registry; 0 or less means now.
  *
  * With dozens of VMs reading the same entries, nearly all reads would return nothing new. So one VM reads and sends the
- * digest of its entries to the others. These read only if their entries differ, or if the reader's last digest becomes too
- * old because the reader died or is cut off. A failure domain that is cut off thus starts to read without any coordination.
+ * digest of its entries to the others. These read only if their entries differ, or if the reader's last digest becomes
+ * too old because the reader died or is cut off. A failure domain that is cut off thus starts to read without any
+ * coordination.
  */
 export function registryDueIn({ freshness, isReader, leavingMs }: DueInputs, now: Millis): Millis {
     const dueByAge = freshness.asOf + (isReader ? READ_INTERVAL_FRACTION : FOLLOWER_INTERVAL_FRACTION) * leavingMs;
--- a/packages/router/src/registry/stepRegistry.ts
+++ b/packages/router/src/registry/stepRegistry.ts
@@ -4,7 +4,9 @@
 import type { Registry } from "./Registry.js";
 import type { RegistryEvent } from "./RegistryEvent.js";
 
-/** Longest usual time between two answers of the registry. Reads are closer together, so a longer gap means an outage. */
+/**
+ * Longest usual time between two answers of the registry. Reads are closer together, so a longer gap means an outage.
+ */
 const MAX_ANSWER_GAP_MS = 2_500;
 /** Entries that expired while the registry was unavailable are back within two seconds of its return. */
 const REREGISTRATION_MS = 2_200;
@@ -30,9 +32,10 @@
 /**
  * Removes an endpoint, or marks it missing for now.
  *
- * While the registry is unavailable, entries expire, so when it returns all endpoints look gone although they are alive,
- * and callers would be refused. Symptom: removals right after a gap. To prevent this, such an entry is only marked missing
- * for the time a live endpoint needs to register again; an endpoint that says it is leaving is removed at once.
+ * While the registry is unavailable, entries expire, so when it returns all endpoints look gone although they are
+ * alive, and callers would be refused. Symptom: removals right after a gap. To prevent this, such an entry is only
+ * marked missing for the time a live endpoint needs to register again; an endpoint that says it is leaving is removed
+ * at once.
  */
 const remove = (registry: Registry, endpoints: Endpoints, name: EndpointName, now: Millis): Endpoints => {
     const known = endpoints.get(name);
--- a/packages/router/src/registry/stepRegistryFreshness.ts
+++ b/packages/router/src/registry/stepRegistryFreshness.ts
@@ -5,12 +5,12 @@
  * Updates how old the known entries can be.
  *
  * If a VM relied on a peer's view of the registry, a leaving endpoint could still get requests because the peer had not
- * read its entry either, or sent it too late. To prevent this, no entry is taken from a beacon. A beacon only confirms that
- * the peer had the same entries as of some time, which is never later than an actual read; if the entries differ, this VM
- * reads for itself.
+ * read its entry either, or sent it too late. To prevent this, no entry is taken from a beacon. A beacon only confirms
+ * that the peer had the same entries as of some time, which is never later than an actual read; if the entries differ,
+ * this VM reads for itself.
  *
- * Beacons may wait in the buffers of a suspended VM and look recent when it continues. To prevent this, anything that rests
- * on timestamps from before the suspension is ignored.
+ * Beacons may wait in the buffers of a suspended VM and look recent when it continues. To prevent this, anything that
+ * rests on timestamps from before the suspension is ignored.
  */
 export function stepRegistryFreshness(before: RegistryFreshness, event: RegistryFreshnessEvent): RegistryFreshness {
     switch (event.kind) {
