--- a/packages/router/src/__tests__/support/allowanceFleet.ts
+++ b/packages/router/src/__tests__/support/allowanceFleet.ts
@@ -8,31 +8,34 @@
     readonly vms: number;
     readonly ratePerSecond: Tokens;
     readonly burst: Tokens;
-    /** Tokens that the organisation asks for in a second, through all VMs. */
+    /** Tokens per second that the organisation requests at all VMs. */
     readonly demandAt: (now: Millis) => Tokens;
     readonly requestTokens: () => Tokens;
-    /** From one beacon between two VMs to the next. */
-    readonly newsEveryMs: Millis;
+    /** Time between two beacons from one VM to another. */
+    readonly beaconIntervalMs: Millis;
     readonly forMs: Millis;
     readonly random: () => number;
 };
 
-/** What one organisation asked for and got. */
+/** Tokens that one organisation requested and got in one step. */
 type Granted = { readonly at: Millis; readonly asked: Tokens; readonly granted: Tokens; };
 
 const STEP_MS = 10;
 const MS_PER_SECOND = 1_000;
 const FIRST_BEACONS_MS = 1_000;
 
-/** Runs the allowances of many VMs in virtual time; each hears every other one once an interval, at a moment of its own. */
+/**
+ * Runs the allowances of many VMs in virtual time. Each VM receives a beacon of every other one once per interval, at a
+ * random phase.
+ */
 export function allowanceFleet(parts: FleetParts): readonly Granted[] {
-    const { random, newsEveryMs } = parts;
+    const { random, beaconIntervalMs: newsEveryMs } = parts;
     const time = { now: 0 };
     const clock = { now: () => time.now, epoch: () => time.now };
     const organisation = organisationOf(parts.ratePerSecond, parts.burst);
     const vms = Array.from({ length: parts.vms }, (_, i) => {
-        const hearing = () => ({ peers: parts.vms - 1, unheard: [], newsMs: newsEveryMs });
-        return { vm: `vm-${i}` as VmId, allowances: createAllowances(clock, hearing, random) };
+        const liveness = () => ({ peers: parts.vms - 1, unheard: [], newsMs: newsEveryMs });
+        return { vm: `vm-${i}` as VmId, allowances: createAllowances(clock, liveness, random) };
     });
     vms.forEach(({ allowances }) => allowances.open([organisation]));
     const phases = vms.map(() => vms.map(() => Math.floor(random() * newsEveryMs / STEP_MS) * STEP_MS));
@@ -42,8 +45,8 @@
         vms.forEach(({ vm, allowances }, i) => {
             vms.forEach((other, j) => {
                 if (i !== j && time.now % newsEveryMs === phases[i]?.[j]) {
-                    const told = { vm, upMs: time.now, spent: allowances.spent(), passedSpent: [] };
-                    other.allowances.hear(told as unknown as Beacon, "relay", false);
+                    const beacon = { vm, upMs: time.now, spent: allowances.spent(), passedSpent: [] };
+                    other.allowances.hear(beacon as unknown as Beacon, "relay", false);
                 }
             });
         });
--- a/packages/router/src/__tests__/unit/allowanceFleet.test.ts
+++ b/packages/router/src/__tests__/unit/allowanceFleet.test.ts
@@ -3,23 +3,23 @@
 import { allowanceFleet } from "../support/allowanceFleet.js";
 import { seededRandom } from "../support/seededRandom.js";
 
-// Dozens of VMs see at once that a bucket holds something again, and an organisation gets more than its rate and burst.
+// Dozens of VMs see at once that a bucket holds tokens again, and an organisation gets more than its rate and burst.
 
 const RATE = 100_000;
 const BURST = 200_000;
 const WINDOW_MS = 8_000;
-/** What the users allow beyond rate and burst in a window: a tenth, and a fixed slack. */
+/** Tokens allowed in a window: a tenth more than rate and burst, and a fixed slack. */
 const ALLOWED = (RATE * WINDOW_MS / 1_000 + BURST) * 1.1 + 140_000;
 const FOR_MS = 22_000;
 
 type Case = {
     readonly name: string;
     readonly vms: number;
-    readonly newsEveryMs: number;
-    /** What is asked for in a second from second 8 to 18, as a multiple of the rate; before and after 0.7 of it. */
+    readonly beaconIntervalMs: number;
+    /** Demand from second 8 to 18 as a multiple of the rate; before and after, it is 0.7 of the rate. */
     readonly peak: number;
-    /** Least part of what the organisation is owed that it has to get. */
-    readonly least: number;
+    /** Minimum fraction that the organisation must get of what it is owed. */
+    readonly minFraction: number;
 };
 
 const PEAK_FROM_MS = 8_000;
@@ -27,26 +27,26 @@
 const USUAL = 0.7;
 
 const cases: readonly Case[] = [
-    { name: "66 VMs, within the rate", vms: 66, newsEveryMs: 1_000, peak: USUAL, least: 1 },
-    { name: "66 VMs, seven times the rate", vms: 66, newsEveryMs: 1_000, peak: 7.5, least: 0.9 },
-    { name: "66 VMs, twice the rate", vms: 66, newsEveryMs: 1_000, peak: 2, least: 0.9 },
-    { name: "6 VMs, seven times the rate", vms: 6, newsEveryMs: 200, peak: 7.5, least: 0.9 },
-    { name: "6 VMs, within the rate", vms: 6, newsEveryMs: 200, peak: USUAL, least: 1 },
+    { name: "66 VMs, within the rate", vms: 66, beaconIntervalMs: 1_000, peak: USUAL, minFraction: 1 },
+    { name: "66 VMs, seven times the rate", vms: 66, beaconIntervalMs: 1_000, peak: 7.5, minFraction: 0.9 },
+    { name: "66 VMs, twice the rate", vms: 66, beaconIntervalMs: 1_000, peak: 2, minFraction: 0.9 },
+    { name: "6 VMs, seven times the rate", vms: 6, beaconIntervalMs: 200, peak: 7.5, minFraction: 0.9 },
+    { name: "6 VMs, within the rate", vms: 6, beaconIntervalMs: 200, peak: USUAL, minFraction: 1 },
 ];
 const SEEDS = [1, 2, 3];
 
-cases.forEach(({ name, vms, newsEveryMs, peak, least }) => {
-    test(`allowances of a fleet: ${name}`, t => {
+cases.forEach(({ name, vms, beaconIntervalMs, peak, minFraction }) => {
+    test(`allowances of all VMs: ${name}`, t => {
         SEEDS.forEach(seed => {
             const random = seededRandom(seed);
             const timesRate = (now: number): number => now >= PEAK_FROM_MS && now < PEAK_TO_MS ? peak : USUAL;
             const granted = allowanceFleet({
                 vms,
-                newsEveryMs,
+                beaconIntervalMs,
                 ratePerSecond: RATE,
                 burst: BURST,
                 demandAt: now => RATE * timesRate(now),
-                // Sizes from a tenth to ten times the usual one, as long and short prompts come.
+                // Sizes from a tenth to ten times the usual one, as prompts are long and short.
                 requestTokens: () => Math.round(6_000 * 10 ** (2 * random() - 1)),
                 forMs: FOR_MS,
                 random,
@@ -57,11 +57,11 @@
             );
             const most = Math.max(...windows);
             const got = granted.reduce((sum, each) => sum + each.granted, 0);
-            // Whoever asks for several times its rate is owed the rate.
+            // An organisation that requests several times its rate is owed the rate.
             const owed = granted.reduce((sum, { at, asked }) => sum + asked * Math.min(1, 1 / timesRate(at)), 0);
             t.log({ seed, most, owed, got });
             t.true(most <= ALLOWED, `${most} of ${ALLOWED} in a window`);
-            t.true(got >= least * owed, `${got} of ${owed} owed`);
+            t.true(got >= minFraction * owed, `${got} of ${owed} owed`);
         });
     });
 });
--- a/packages/router/src/__tests__/unit/allowanceQueue.test.ts
+++ b/packages/router/src/__tests__/unit/allowanceQueue.test.ts
@@ -10,7 +10,7 @@
 const TOKENS = 1_000;
 const WAIT_MS = 250;
 
-/** A clock that a test moves on, with the functions that wait for it. */
+/** Creates a clock that a test advances, with the functions scheduled on it. */
 const createTime = () => {
     const state = { now: 0, waiting: [] as { readonly at: number; readonly run: () => void; }[] };
     const later = (delayMs: number, run: () => void): void => {
@@ -32,9 +32,10 @@
 
 const start = () => {
     const time = createTime();
-    // Another VM is listed but out of hearing, as when all have just restarted: nothing may be overdrawn.
-    const hearing = () => ({ peers: 1, unheard: ["other" as VmId], isPartial: true, newsMs: 200 });
-    const allowances = createAllowances(time.clock, hearing, () => 0);
+    // Another VM is listed but silent, and the list is partial, as after a restart of all VMs: nothing may be
+    // overdrawn.
+    const liveness = () => ({ peers: 1, unheard: ["other" as VmId], isPartial: true, newsMs: 200 });
+    const allowances = createAllowances(time.clock, liveness, () => 0);
     const queue = createAllowanceQueue({ clock: time.clock, allowances, later: time.later });
     const outcomes: string[] = [];
     const ask = (name: string, id: string, signal: AbortSignal = new AbortController().signal): void => {
@@ -47,8 +48,8 @@
 
 const settled = (): Promise<void> => new Promise(resolve => setImmediate(resolve));
 
-// All VMs restart, and an organisation within its rate is refused for tokens that come some milliseconds later.
-test("allowance queue: within the rate nobody is refused after a restart, and the first is charged first", async t => {
+// All VMs restart, and an organisation within its rate is refused although its tokens accrue some milliseconds later.
+test("allowance queue: after a restart, requests within the rate are charged in order and not refused", async t => {
     const { time, ask, outcomes } = start();
     ask("a", "org");
     ask("b", "org");
@@ -62,7 +63,7 @@
     t.deepEqual(outcomes, ["a charged", "b charged"]);
 });
 
-test("allowance queue: an organisation far over its rate is refused at once, and another one is not held up by it", async t => {
+test("allowance queue: an organisation far over its rate is refused at once, without delay to others", async t => {
     const { time, ask, outcomes } = start();
     ["a", "b", "c", "d"].forEach(name => ask(name, "org"));
     ask("e", "other");
@@ -73,7 +74,7 @@
     t.deepEqual(outcomes.slice(1).toSorted(), ["a charged", "e charged"]);
 });
 
-test("allowance queue: a caller that has left is charged nothing, and those behind it are", async t => {
+test("allowance queue: a caller that disconnected is not charged, and the next one is", async t => {
     const { time, ask, outcomes } = start();
     const caller = new AbortController();
     ask("a", "org", caller.signal);
@@ -85,10 +86,31 @@
 });
 
 const decisions = [
-    { name: "tokens come in time", shortMs: 90, queuedTokens: 0, leftMs: 250, kind: "wait", waitMs: 90 },
-    { name: "behind others, still in time", shortMs: 50, queuedTokens: 2_000, leftMs: 250, kind: "wait", waitMs: 250 },
-    { name: "too many before it", shortMs: 50, queuedTokens: 2_001, leftMs: 250, kind: "refuse", waitMs: 250.1 },
-    { name: "its time is up", shortMs: 1, queuedTokens: 0, leftMs: 0, kind: "refuse", waitMs: 1 },
+    {
+        name: "waits if tokens accrue in time",
+        refillWaitMs: 90,
+        queuedTokens: 0,
+        maxWaitMs: 250,
+        kind: "wait",
+        waitMs: 90,
+    },
+    {
+        name: "waits behind others if still in time",
+        refillWaitMs: 50,
+        queuedTokens: 2_000,
+        maxWaitMs: 250,
+        kind: "wait",
+        waitMs: 250,
+    },
+    {
+        name: "refuses if too many tokens are queued before it",
+        refillWaitMs: 50,
+        queuedTokens: 2_001,
+        maxWaitMs: 250,
+        kind: "refuse",
+        waitMs: 250.1,
+    },
+    { name: "refuses if its time is up", refillWaitMs: 1, queuedTokens: 0, maxWaitMs: 0, kind: "refuse", waitMs: 1 },
 ] as const;
 
 decisions.forEach(({ name, kind, waitMs, ...question }) => {
--- a/packages/router/src/allowance/SharedAllowance.ts
+++ b/packages/router/src/allowance/SharedAllowance.ts
@@ -2,30 +2,32 @@
 
 import type { Spender } from "./Spender.js";
 
-/** What was told of others' spending for one organisation. */
+/** What was received of one spender's spending for one organisation. */
 type PeerSpending = {
-    /** Tokens spent since the count began; undefined until it was told. */
+    /** Tokens spent since the counter began; `undefined` until it was received. */
     readonly spent: Tokens | undefined;
-    /** Tokens that were taken as spent there while VMs were out of hearing. */
+    /** Tokens assumed to be spent there while VMs were silent. */
     readonly assumed: Tokens;
-    /** From when on that was done; undefined where nothing was. */
+    /** Since when spending has been assumed; `undefined` if none was. */
     readonly assumedFrom: Millis | undefined;
-    /** When it was last told; −∞ before that. */
-    readonly toldAt: Millis;
+    /** When the counter was last received; `-Infinity` until then. */
+    readonly receivedAt: Millis;
 };
 
-/** One organisation's allowance as one VM reckons it: a bucket for all VMs, drained by all their spending. */
+/** One organisation's allowance as one VM computes it: a token bucket that all VMs share and drain. */
 export type SharedAllowance = {
     readonly ratePerSecond: Tokens;
     readonly burst: Tokens;
-    /** Tokens that may be spent; below 0 when the VMs together went ahead of what each knew. */
+    /** Tokens that may be spent; below 0 if the VMs together spent more than each knew of. */
     readonly level: Tokens;
     readonly at: Millis;
     readonly openedAt: Millis;
-    /** How far below 0 the level may go before requests are refused; 0 once the process knows what the others spend. */
+    /**
+     * How far below 0 the level may go before requests are refused; 0 once this process knows what the others spend.
+     */
     readonly overdraft: Tokens;
-    /** Tokens that this process has spent. */
+    /** Tokens spent by this process. */
     readonly ownSpent: Tokens;
-    /** A restarted VM counts from 0 again. */
+    /** Received spending by spender; a restarted VM counts from 0 again. */
     readonly peers: ReadonlyMap<Spender, PeerSpending>;
 };
--- a/packages/router/src/allowance/Spender.ts
+++ b/packages/router/src/allowance/Spender.ts
@@ -1,4 +1,7 @@
 import type { FailureDomain, VmId } from "@azureshunt/core";
 
-/** Whose spending is told in one count: a VM, a failure domain's VMs that are not heard directly, or all such VMs. */
+/**
+ * Whose spending one counter holds: a VM's, that of a failure domain's VMs whose beacons come through relays only, or
+ * that of all such VMs (`fleet`).
+ */
 export type Spender = VmId | `domain ${FailureDomain}` | "fleet";
--- a/packages/router/src/allowance/advanceShared.ts
+++ b/packages/router/src/allowance/advanceShared.ts
@@ -6,24 +6,24 @@
 
 const MS_PER_SECOND = 1_000;
 
-const neverTold = { spent: undefined, assumed: 0, assumedFrom: undefined, toldAt: -Infinity };
+const neverReceived = { spent: undefined, assumed: 0, assumedFrom: undefined, receivedAt: -Infinity };
 
 /**
- * Lets time pass for an allowance.
+ * Advances an allowance to `now`: refills it and assumes spending of silent VMs.
  *
- * Failure: a failure domain is cut off, both sides go on, and together they spend twice the rate. Guard: what a VM out
- * of hearing would spend as its even share is taken as spent, so that the sides' refills add up to the rate.
+ * If a failure domain is cut off, both sides continue, and together they would spend twice the rate. To prevent this,
+ * each silent VM is assumed to spend an even share of the rate, so that the refills of both sides add up to the rate.
  */
 export function advanceShared(
     allowance: SharedAllowance,
-    hearing: Omit<Hearing, "newsMs">,
+    liveness: Omit<Hearing, "newsMs">,
     now: Millis,
 ): SharedAllowance {
     const seconds = Math.max(0, now - allowance.at) / MS_PER_SECOND;
-    const share = allowance.ratePerSecond * seconds / (hearing.peers + 1);
-    const refill = share * (hearing.peers + 1 - hearing.unheard.length);
-    const assumed = hearing.unheard.map(vm => {
-        const known = allowance.peers.get(vm) ?? neverTold;
+    const share = allowance.ratePerSecond * seconds / (liveness.peers + 1);
+    const refill = share * (liveness.peers + 1 - liveness.unheard.length);
+    const assumed = liveness.unheard.map(vm => {
+        const known = allowance.peers.get(vm) ?? neverReceived;
         return [vm, {
             ...known,
             assumed: known.assumed + share,
@@ -34,7 +34,7 @@
         ...allowance,
         level: Math.min(allowance.burst, allowance.level + refill),
         at: now,
-        overdraft: overdraftOf({ burst: allowance.burst, ageMs: now - allowance.openedAt, hearing }),
+        overdraft: overdraftOf({ burst: allowance.burst, ageMs: now - allowance.openedAt, liveness }),
         peers: assumed.length === 0 ? allowance.peers : new Map([...allowance.peers, ...assumed]),
     };
 }
--- a/packages/router/src/allowance/createAllowanceQueue.ts
+++ b/packages/router/src/allowance/createAllowanceQueue.ts
@@ -6,48 +6,51 @@
 import type { createAllowances } from "./createAllowances.js";
 import { waitForAllowance } from "./waitForAllowance.js";
 
-/** A request that is to be charged to its organisation. */
+/** A request to charge to its organisation. */
 type Charge = {
     readonly organisation: Organisation;
     readonly tokens: Tokens;
-    /** Until when it may wait for tokens. */
+    /** Time until which it may wait for tokens. */
     readonly waitsUntil: Millis;
-    /** Aborted when the caller has left. */
+    /** Aborted when the caller disconnects. */
     readonly signal: AbortSignal;
 };
 
-type Waiting = Charge & { readonly settle: (outcome: Either<Refusal, void>) => void; };
+type QueuedCharge = Charge & { readonly settle: (outcome: Either<Refusal, void>) => void; };
 
 type QueueParts = {
     readonly clock: Clock;
     readonly allowances: Pick<ReturnType<typeof createAllowances>, "noteDemand" | "spend" | "refusal">;
-    /** Runs a function after some time. */
+    /** Runs a function after a delay. */
     readonly later: (delayMs: Millis, run: () => void) => void;
 };
 
-/** Charges requests to their organisations, in the order in which they came. */
+/** Charges requests to their organisations in order of arrival. */
 type AllowanceQueue = {
-    /** Right when the tokens were taken; Left when there are none in the time that the request may wait. */
+    /**
+     * Resolves to Right once the tokens are spent, to Left if there will be none within the time that the request may
+     * wait.
+     */
     readonly charge: (charge: Charge) => Promise<Either<Refusal, void>>;
 };
 
 const MS_PER_SECOND = 1_000;
-/** Timers are coarse: asked earlier than this, the bucket would be found short by a fraction of a token. */
-const LEAST_WAIT_MS: Millis = 1;
+/** Timers are coarse: after a shorter wait, the bucket could still lack a fraction of a token. */
+const MIN_WAIT_MS: Millis = 1;
 
-/** Makes the queue of requests that wait for tokens of their organisations; see `waitForAllowance` for who waits. */
+/** Creates the queue of requests that wait for tokens; `waitForAllowance` decides which requests wait. */
 export function createAllowanceQueue({ clock, allowances, later }: QueueParts): AllowanceQueue {
-    const queues = new Map<OrganisationId, Waiting[]>();
+    const queues = new Map<OrganisationId, QueuedCharge[]>();
 
     const decide = (charge: Charge, refusal: Refusal, ahead: readonly Charge[]): ReturnType<typeof waitForAllowance> =>
         waitForAllowance({
-            shortMs: (refusal.retryAfterSeconds ?? 0) * MS_PER_SECOND,
+            refillWaitMs: (refusal.retryAfterSeconds ?? 0) * MS_PER_SECOND,
             queuedTokens: ahead.reduce((sum, { tokens }) => sum + tokens, 0),
             ratePerSecond: charge.organisation.ratePerSecond ?? Infinity,
-            leftMs: charge.waitsUntil - clock.now(),
+            maxWaitMs: charge.waitsUntil - clock.now(),
         });
 
-    /** Charges the one that waits longest, as soon as there are tokens, and then the next. */
+    /** Charges the request at the head of the queue as soon as there are tokens, then the next one. */
     const serve = (id: OrganisationId): void => {
         const queue = queues.get(id) ?? [];
         const [head] = queue;
@@ -61,7 +64,7 @@
         const refusal = outcome.swap().toMaybe().extract();
         const decision = refusal === undefined || head.signal.aborted ? undefined : decide(head, refusal, []);
         if (decision?.kind === "wait") {
-            later(Math.max(LEAST_WAIT_MS, decision.waitMs), () => serve(id));
+            later(Math.max(MIN_WAIT_MS, decision.waitMs), () => serve(id));
             return;
         }
         queue.shift();
@@ -69,8 +72,8 @@
         serve(id);
     };
 
-    const charge: AllowanceQueue["charge"] = async asked => {
-        const { organisation, tokens } = asked;
+    const charge: AllowanceQueue["charge"] = async request => {
+        const { organisation, tokens } = request;
         const queue = queues.get(organisation.id) ?? [];
         allowances.noteDemand(organisation, tokens);
         const outcome = queue.length === 0
@@ -80,15 +83,15 @@
         if (refusal === undefined) {
             return outcome;
         }
-        const { kind, waitMs } = decide(asked, refusal, queue);
+        const { kind, waitMs } = decide(request, refusal, queue);
         if (kind === "refuse") {
             return Left({ ...refusal, retryAfterSeconds: waitMs / MS_PER_SECOND });
         }
         return new Promise(settle => {
-            queue.push({ ...asked, settle });
+            queue.push({ ...request, settle });
             if (queue.length === 1) {
                 queues.set(organisation.id, queue);
-                later(Math.max(LEAST_WAIT_MS, waitMs), () => serve(organisation.id));
+                later(Math.max(MIN_WAIT_MS, waitMs), () => serve(organisation.id));
             }
         });
     };
--- a/packages/router/src/allowance/createAllowances.ts
+++ b/packages/router/src/allowance/createAllowances.ts
@@ -6,78 +6,83 @@
 import type { Organisation } from "../configuration/Organisation.js";
 import type { Beacon } from "../peers/Beacon.js";
 import type { VmRole } from "../peers/VmRole.js";
+import { addedSpending } from "./addedSpending.js";
+import { admittedFraction } from "./admittedFraction.js";
 import { advanceShared } from "./advanceShared.js";
 import { createOrganisationDemand } from "./createOrganisationDemand.js";
-import { createPassedSpending } from "./createPassedSpending.js";
-import { createRelayCounts } from "./createRelayCounts.js";
-import { furtherSpent } from "./furtherSpent.js";
-import { grantPart } from "./grantPart.js";
+import { createRelayCounters } from "./createRelayCounters.js";
+import { createRelayedSpending } from "./createRelayedSpending.js";
 import type { Hearing } from "./Hearing.js";
-import { hearSpending } from "./hearSpending.js";
-import { isLapsed } from "./isLapsed.js";
+import { isExpired } from "./isExpired.js";
 import { openSharedAllowance } from "./openSharedAllowance.js";
+import { receiveSpending } from "./receiveSpending.js";
+import { refillWaitMs } from "./refillWaitMs.js";
 import { refundShared } from "./refundShared.js";
-import { relimitShared } from "./relimitShared.js";
+import { setSharedLimits } from "./setSharedLimits.js";
 import type { SharedAllowance } from "./SharedAllowance.js";
-import { shortMs } from "./shortMs.js";
 import type { Spender } from "./Spender.js";
 import { spendShared } from "./spendShared.js";
 
-type SpendingNews = Pick<
+type SpendingUpdate = Pick<
     Beacon,
     "vm" | "incarnation" | "failureDomain" | "sequence" | "scope" | "upMs" | "spent" | "passedSpent"
 >;
 
-/** The allowances of all organisations, as this VM reckons them. */
+/** The allowances of all organisations, as this VM computes them. */
 type Allowances = {
-    /** Opens the allowances of organisations that are new, so that they fill before the first request. */
+    /** Opens the allowances of new organisations, so that they fill before the first request. */
     readonly open: (organisations: Iterable<Organisation>) => void;
-    /** A request asks for tokens; to be told once, however often it is charged in vain. */
+    /** Records a request's demand; to be called once per request, however often charging it fails. */
     readonly noteDemand: (organisation: Organisation, tokens: Tokens) => void;
-    /** Takes a request's tokens; Left when the organisation has used up its rate. */
+    /** Spends a request's tokens; Left if the organisation has used up its rate. */
     readonly spend: (organisation: Organisation, tokens: Tokens) => Either<Refusal, void>;
-    /** Why a request cannot be charged now, and when it could be. */
+    /** Returns the refusal of a request that cannot be charged now, with the time after which it could be. */
     readonly refusal: (organisation: Organisation, tokens: Tokens) => Refusal;
     readonly refund: (organisation: Organisation, tokens: Tokens) => void;
     /**
-     * @param role what the teller is to this VM
-     * @param isRestarted whether the teller is another process than before
+     * Takes in the spending that a beacon reports.
+     *
+     * @param role role of the sender as seen by this VM
+     * @param isRestarted whether the sender is another process than at its previous beacon
      */
-    readonly hear: (beacon: SpendingNews, role: VmRole, isRestarted: boolean) => void;
-    /** Tokens left in the allowance that has least, as of its last use; 0 where there is none. */
+    readonly hear: (beacon: SpendingUpdate, role: VmRole, isRestarted: boolean) => void;
+    /** Lowest level of all allowances, each as of its last use; 0 if there are none. */
     readonly least: () => Tokens;
-    /** By organisation: what this process has spent, and what is asked of it in a second. */
+    /** By organisation: tokens spent by this process, and its demand in tokens per second. */
     readonly spent: () => Beacon["spent"];
-    /** The same of the VMs whose facts a relay passes on, by who is told: what a VM spends itself is left out. */
+    /** The same for the VMs whose state this relay sends on, by receiver: without what the receiver spends itself. */
     readonly passed: (scope: "domain" | "fleet") => (target: VmId | undefined) => Beacon["passedSpent"];
 };
 
 const MS_PER_SECOND = 1_000;
 /**
- * A process tells of its first spending within so long. One that is older and not known has told relays of it, or tells what
- * was passed on before it became one itself.
+ * Time within which a process sends its first spending. An older process that is unknown here has already sent its
+ * spending to relays, or sends what was relayed before it became a relay itself.
  */
-const FIRST_WORD_MS: Millis = 3_000;
+const FIRST_UPDATE_MS: Millis = 3_000;
 
 /**
- * Keeps the allowances.
+ * Creates the allowances of all organisations.
  *
- * @param hearing which of the other VMs are heard
+ * @param liveness the other VMs, and which of them are silent
  * @param random evenly distributed from 0 up to 1
  */
-export function createAllowances(clock: Clock, hearing: () => Hearing, random: () => number): Allowances {
+export function createAllowances(clock: Clock, liveness: () => Hearing, random: () => number): Allowances {
     const all = new Map<OrganisationId, SharedAllowance>();
     const demand = createOrganisationDemand(clock);
-    const passing = createPassedSpending();
-    const relayCounts = createRelayCounts(clock, () => hearing().newsMs);
+    const relayedSpending = createRelayedSpending();
+    const relayCounters = createRelayCounters(clock, () => liveness().newsMs);
 
-    /** Whether a request is among those that the bucket can bear until all VMs have heard of each other's. */
-    const isBorne = ({ id }: Organisation, { level, overdraft, ratePerSecond }: SharedAllowance): boolean =>
-        random() < grantPart({
+    /**
+     * Returns whether a request is in the random part that the bucket can cover until all VMs know of each other's
+     * spending.
+     */
+    const isAdmitted = ({ id }: Organisation, { level, overdraft, ratePerSecond }: SharedAllowance): boolean =>
+        random() < admittedFraction({
             level: level + overdraft,
             ratePerSecond,
             demandPerSecond: demand.total(id),
-            newsMs: hearing().newsMs,
+            propagationMs: liveness().newsMs,
         });
 
     const current = ({ id, ratePerSecond, burst }: Organisation): SharedAllowance | undefined => {
@@ -85,7 +90,7 @@
             return undefined;
         }
         const known = all.get(id) ?? openSharedAllowance(ratePerSecond, burst, clock.now());
-        return relimitShared(advanceShared(known, hearing(), clock.now()), ratePerSecond, burst);
+        return setSharedLimits(advanceShared(known, liveness(), clock.now()), ratePerSecond, burst);
     };
     const open: Allowances["open"] = organisations =>
         [...organisations].filter(({ id }) => !all.has(id)).forEach(organisation => {
@@ -100,7 +105,7 @@
         tokens: Tokens,
         waitMs: Millis,
     ): Refusal => {
-        const { peers, unheard } = hearing();
+        const { peers, unheard } = liveness();
         const inDemand = Math.round(demand.total(organisation.id));
         const detail =
             `${organisation.id}: level ${Math.round(allowance?.level ?? 0)}, rate ${organisation.ratePerSecond}, `
@@ -109,18 +114,18 @@
     };
     const refusal: Allowances["refusal"] = (organisation, tokens) => {
         const allowance = current(organisation);
-        return refusalAt(organisation, allowance, tokens, allowance === undefined ? 0 : shortMs(allowance));
+        return refusalAt(organisation, allowance, tokens, allowance === undefined ? 0 : refillWaitMs(allowance));
     };
     const spend: Allowances["spend"] = (organisation, tokens) => {
         const allowance = current(organisation);
         if (allowance === undefined) {
             return Right(undefined);
         }
-        const borne = isBorne(organisation, allowance);
-        const spent = borne ? spendShared(allowance, tokens) : undefined;
+        const admitted = isAdmitted(organisation, allowance);
+        const spent = admitted ? spendShared(allowance, tokens) : undefined;
         all.set(organisation.id, spent ?? allowance);
-        // Where the bucket holds something, it is the others' news that decide.
-        const waitMs = borne ? shortMs(allowance) : Math.max(shortMs(allowance), hearing().newsMs);
+        // If the bucket holds tokens, updates of other VMs decide, so the caller waits until they have arrived.
+        const waitMs = admitted ? refillWaitMs(allowance) : Math.max(refillWaitMs(allowance), liveness().newsMs);
         return spent === undefined ? Left(refusalAt(organisation, allowance, tokens, waitMs)) : Right(undefined);
     };
     const refund: Allowances["refund"] = (organisation, tokens) => {
@@ -136,60 +141,61 @@
         }
         const now = clock.now();
         const known = allowance.peers.get(spender);
-        all.set(id, hearSpending(allowance, spender, spent, isNew, now));
-        return furtherSpent(isLapsed(known, now) ? undefined : known?.spent, spent, isNew);
+        all.set(id, receiveSpending(allowance, spender, spent, isNew, now));
+        return addedSpending(isExpired(known, now) ? undefined : known?.spent, spent, isNew);
     };
-    const isYounger = (id: OrganisationId, upMs: Millis): boolean =>
-        upMs <= Math.min(FIRST_WORD_MS, clock.now() - (all.get(id)?.openedAt ?? Infinity));
+    const isStartedLater = (id: OrganisationId, upMs: Millis): boolean =>
+        upMs <= Math.min(FIRST_UPDATE_MS, clock.now() - (all.get(id)?.openedAt ?? Infinity));
 
-    const hearOwn = ({ vm, upMs, spent }: SpendingNews, role: VmRole, isRestarted: boolean): void =>
+    const receiveOwn = ({ vm, upMs, spent }: SpendingUpdate, role: VmRole, isRestarted: boolean): void =>
         spent.forEach(([id, tokens, perSecond]) => {
-            demand.hear(vm, id, perSecond);
+            demand.receiveDemand(vm, id, perSecond);
             const isFirst = all.get(id)?.peers.get(vm)?.spent === undefined;
-            const further = debit(id, vm, tokens, isRestarted || (isFirst && isYounger(id, upMs)));
-            passing.note(id, vm, role, further);
+            const added = debit(id, vm, tokens, isRestarted || (isFirst && isStartedLater(id, upMs)));
+            relayedSpending.record(id, vm, role, added);
         });
-    const hearPassed = (beacon: SpendingNews, role: VmRole): void => {
+    const receiveRelayed = (beacon: SpendingUpdate, role: VmRole): void => {
         const { vm, incarnation, failureDomain, sequence, scope, upMs, passedSpent } = beacon;
         const spender: Spender = scope === "fleet" ? "fleet" : `domain ${failureDomain}`;
-        passedSpent.forEach(([id, , perSecond]) => demand.hear(spender, id, perSecond));
-        const further = relayCounts.hear({
+        passedSpent.forEach(([id, , perSecond]) => demand.receiveDemand(spender, id, perSecond));
+        const added = relayCounters.receiveUpdate({
             spender,
             relay: `${vm}/${incarnation}`,
             sequence,
             rows: passedSpent.map(([id, tokens]) => [id, tokens] as const),
             assumedFrom: id => all.get(id)?.peers.get(spender)?.assumedFrom,
-            isYounger: id => isYounger(id, upMs),
+            isStartedLater: id => isStartedLater(id, upMs),
         });
-        // While views of who is a relay differ, what is told to both a relay and a VM behind it must not count twice.
-        const isMeant = role === (scope === "fleet" ? "relay" : "foreign");
-        (isMeant ? further : []).forEach(([id, tokens]) => {
+        // While VMs differ on which VMs are relays, spending that reaches both a relay and a VM behind it must not
+        // count twice.
+        const isForThisVm = role === (scope === "fleet" ? "relay" : "foreign");
+        (isForThisVm ? added : []).forEach(([id, tokens]) => {
             const before = all.get(id)?.peers.get(spender)?.spent;
             debit(id, spender, (before ?? 0) + tokens, before === undefined);
             if (scope === "domain") {
-                passing.note(id, spender, "foreign", tokens);
+                relayedSpending.record(id, spender, "foreign", tokens);
             }
         });
     };
     const hear: Allowances["hear"] = (beacon, role, isRestarted) => {
-        // What a stranger spends is told by its relays as well.
+        // The spending of an indirect VM is also sent by its relays.
         if (role !== "stranger") {
-            hearOwn(beacon, role, isRestarted);
+            receiveOwn(beacon, role, isRestarted);
         }
         if (beacon.scope === "domain" || beacon.scope === "fleet") {
-            hearPassed(beacon, role);
+            receiveRelayed(beacon, role);
         }
     };
     const passed: Allowances["passed"] = scope => {
         const rows = [...all.keys()].map(id => ({
             id,
-            tokens: passing.total(scope, id),
-            perSecond: demand.others(id, spender => passing.isPassed(scope, spender)),
+            tokens: relayedSpending.total(scope, id),
+            perSecond: demand.others(id, spender => relayedSpending.isRelayed(scope, spender)),
         }));
         return target =>
             rows.map(({ id, tokens, perSecond }) => {
-                const own = target === undefined ? 0 : passing.of(scope, id, target);
-                const ownDemand = target === undefined || !passing.isPassed(scope, target)
+                const own = target === undefined ? 0 : relayedSpending.of(scope, id, target);
+                const ownDemand = target === undefined || !relayedSpending.isRelayed(scope, target)
                     ? 0
                     : demand.others(id, spender => spender === target);
                 return [id, tokens - own, Math.round(perSecond - ownDemand)] as const;
@@ -197,7 +203,7 @@
     };
     return {
         open,
-        noteDemand: ({ id }, tokens) => demand.note(id, tokens),
+        noteDemand: ({ id }, tokens) => demand.record(id, tokens),
         spend,
         refusal,
         refund,
--- a/packages/router/src/allowance/createOrganisationDemand.ts
+++ b/packages/router/src/allowance/createOrganisationDemand.ts
@@ -3,51 +3,51 @@
 import { createDemand } from "../placement/createDemand.js";
 import type { Spender } from "./Spender.js";
 
-/** What organisations ask for, at this VM and at the others. */
+/** The demand of organisations, at this VM and at the others. */
 type OrganisationDemand = {
-    readonly note: (organisation: OrganisationId, tokens: Tokens) => void;
-    /** Tokens a second that an organisation asks for at this VM. */
+    readonly record: (organisation: OrganisationId, tokens: Tokens) => void;
+    /** Tokens per second that an organisation requests at this VM. */
     readonly own: (organisation: OrganisationId) => Tokens;
-    /** What others told of theirs. */
-    readonly hear: (spender: Spender, organisation: OrganisationId, perSecond: Tokens) => void;
-    /** Tokens a second that an organisation asks for at all VMs. */
+    /** Stores the demand that another spender reports, in tokens per second. */
+    readonly receiveDemand: (spender: Spender, organisation: OrganisationId, perSecond: Tokens) => void;
+    /** Tokens per second that an organisation requests at all VMs. */
     readonly total: (organisation: OrganisationId) => Tokens;
-    /** Tokens a second that it asks for at some of the others. */
+    /** Tokens per second that it requests at those of the others that are counted. */
     readonly others: (organisation: OrganisationId, isCounted: (spender: Spender) => boolean) => Tokens;
 };
 
-type Told = { readonly perSecond: Tokens; readonly at: Millis; };
+type ReceivedDemand = { readonly perSecond: Tokens; readonly receivedAt: Millis; };
 
 const MS_PER_SECOND = 1_000;
-/** Short, so that a sudden peak shows before it has cost much. */
+/** Window of the own demand; short, so that a sudden peak shows before much of it is admitted. */
 const WINDOW_MS: Millis = 1_000;
-/** What a VM told counts for so long: two of its beacons may be lost among many VMs. */
-const TOLD_MS: Millis = 3_000;
+/** How long received demand counts: with many VMs, two beacons of a VM may be lost in this time. */
+const VALID_MS: Millis = 3_000;
 
-/** Keeps what organisations ask for. */
+/** Creates the demand records, empty. */
 export function createOrganisationDemand(clock: Clock): OrganisationDemand {
     const owns = new Map<OrganisationId, ReturnType<typeof createDemand>>();
-    const told = new Map<OrganisationId, Map<Spender, Told>>();
+    const received = new Map<OrganisationId, Map<Spender, ReceivedDemand>>();
 
     const own: OrganisationDemand["own"] = organisation => MS_PER_SECOND * (owns.get(organisation)?.rate() ?? 0);
     const others: OrganisationDemand["others"] = (organisation, isCounted) =>
-        [...told.get(organisation) ?? []]
-            .filter(([spender, { at }]) => clock.now() - at < TOLD_MS && isCounted(spender))
+        [...received.get(organisation) ?? []]
+            .filter(([spender, { receivedAt: at }]) => clock.now() - at < VALID_MS && isCounted(spender))
             .reduce((sum, [, { perSecond }]) => sum + perSecond, 0);
     return {
         own,
-        note: (organisation, tokens) => {
+        record: (organisation, tokens) => {
             const demand = owns.get(organisation) ?? createDemand(clock, WINDOW_MS);
             owns.set(organisation, demand);
             demand.note(tokens);
         },
-        hear: (spender, organisation, perSecond) => {
-            const bySpender = told.get(organisation) ?? new Map<Spender, Told>();
+        receiveDemand: (spender, organisation, perSecond) => {
+            const bySpender = received.get(organisation) ?? new Map<Spender, ReceivedDemand>();
             if (perSecond === 0) {
                 bySpender.delete(spender);
                 return;
             }
-            told.set(organisation, bySpender.set(spender, { perSecond, at: clock.now() }));
+            received.set(organisation, bySpender.set(spender, { perSecond, receivedAt: clock.now() }));
         },
         others,
         total: organisation => own(organisation) + others(organisation, () => true),
--- /dev/null
+++ b/packages/router/src/allowance/createRelayCounters.ts
@@ -0,0 +1,106 @@
+import type { Clock, Millis, OrganisationId, Tokens } from "@azureshunt/core";
+
+import { addedSpending } from "./addedSpending.js";
+import { isExpired } from "./isExpired.js";
+import type { Spender } from "./Spender.js";
+
+/** What a relay sends of the spending of other VMs, in counters of its own. */
+type RelayUpdate = {
+    readonly spender: Spender;
+    /** Identifies the relay's process. */
+    readonly relay: string;
+    /** The same in all datagrams of one update. */
+    readonly sequence: number;
+    readonly rows: readonly (readonly [OrganisationId, Tokens])[];
+    /** Since when spending of these VMs has been assumed because they were silent; `undefined` if none was. */
+    readonly assumedFrom: (organisation: OrganisationId) => Millis | undefined;
+    /** Whether the relay's process started after the organisation's allowance was opened here. */
+    readonly isStartedLater: (organisation: OrganisationId) => boolean;
+};
+
+/** Follows the counters of several relays that send the spending of the same VMs. */
+type RelayCounters = {
+    /**
+     * Takes in a relay's update. One without rows only shows that the relay is alive.
+     *
+     * @returns the tokens it adds, by organisation; empty if the relay is not the followed one
+     */
+    readonly receiveUpdate: (update: RelayUpdate) => readonly (readonly [OrganisationId, Tokens])[];
+};
+
+type Counter = {
+    readonly receivedAt: Millis;
+    readonly last: Tokens;
+    /** Values of the counter at the last update of the followed relay, and at the one before. */
+    readonly marks: readonly [last: Tokens, before: Tokens];
+};
+type Group = {
+    followed: string | undefined;
+    receivedAt: Millis;
+    sequence: number;
+    readonly relays: Map<string, Map<OrganisationId, Counter>>;
+};
+
+/** Relay processes remembered for one group: those alive, and some that have ended. */
+const MAX_REMEMBERED_RELAYS = 8;
+
+/**
+ * Creates the counters of relays. Two relays send the spending of the same VMs, and each counts from its own start. One
+ * of them is followed; when it becomes silent, the other continues from where the first had come to, so that nothing is
+ * left out and at most one round's spending counters twice.
+ *
+ * If the relay that becomes silent had missed a datagram that the other one received, the spending in it would never be
+ * counted. To prevent this, the other one continues from its value of one round earlier: the first had received all of
+ * that by its last update.
+ *
+ * @param silentMs silence after which the followed relay is replaced by another one
+ */
+export function createRelayCounters(clock: Clock, silentMs: () => Millis): RelayCounters {
+    const groups = new Map<Spender, Group>();
+
+    const mark = ({ relays }: Group): void =>
+        relays.forEach(counters =>
+            counters.forEach((counter, organisation) =>
+                counters.set(organisation, { ...counter, marks: [counter.last, counter.marks[0]] })
+            )
+        );
+    const remember = ({ relays }: Group, relay: string): Map<OrganisationId, Counter> => {
+        const counters = relays.get(relay) ?? new Map<OrganisationId, Counter>();
+        relays.set(relay, counters);
+        [...relays.keys()].slice(0, -MAX_REMEMBERED_RELAYS).forEach(oldest => relays.delete(oldest));
+        return counters;
+    };
+    const receiveUpdate: RelayCounters["receiveUpdate"] = (
+        { spender, relay, sequence, rows, assumedFrom, isStartedLater },
+    ) => {
+        const group: Group = groups.get(spender)
+            ?? { followed: undefined, receivedAt: -Infinity, sequence: -1, relays: new Map() };
+        groups.set(spender, group);
+        const now = clock.now();
+        const isSame = group.followed === relay;
+        if (rows.length === 0) {
+            group.receivedAt = isSame ? now : group.receivedAt;
+            return [];
+        }
+        const isFollowed = isSame || now - group.receivedAt > silentMs();
+        const counters = remember(group, relay);
+        const added = rows.map(([organisation, last]) => {
+            const before = counters.get(organisation);
+            const view = before && { assumedFrom: assumedFrom(organisation), receivedAt: before.receivedAt };
+            const known = isExpired(view, now) ? undefined : before;
+            counters.set(organisation, { receivedAt: now, last, marks: known?.marks ?? [last, last] });
+            const isNew = known === undefined && isStartedLater(organisation);
+            return [organisation, addedSpending(isSame ? known?.last : known?.marks[1], last, isNew)] as const;
+        });
+        if (isFollowed) {
+            if (!isSame || group.sequence !== sequence) {
+                mark(group);
+            }
+            group.followed = relay;
+            group.sequence = sequence;
+            group.receivedAt = now;
+        }
+        return isFollowed ? added : [];
+    };
+    return { receiveUpdate };
+}
--- a/packages/router/src/allowance/openSharedAllowance.ts
+++ b/packages/router/src/allowance/openSharedAllowance.ts
@@ -5,8 +5,8 @@
 /**
  * Opens an organisation's allowance at the start of a process.
  *
- * Failure: all VMs restart again and again, and each time the organisation gets its whole burst anew. Guard: the bucket
- * starts empty and fills at the rate.
+ * If all VMs restarted repeatedly, the organisation would get its whole burst again each time. To prevent this, the
+ * bucket starts empty and fills at the rate.
  */
 export function openSharedAllowance(ratePerSecond: Tokens, burst: Tokens, now: Millis): SharedAllowance {
     return {
--- a/packages/router/src/allowance/refundShared.ts
+++ b/packages/router/src/allowance/refundShared.ts
@@ -2,7 +2,7 @@
 
 import type { SharedAllowance } from "./SharedAllowance.js";
 
-/** Gives back the tokens of a request that surely did not run; the other VMs learn it by the smaller count. */
+/** Refunds the tokens of a request that certainly did not run; the other VMs see it as a smaller counter. */
 export function refundShared(allowance: SharedAllowance, tokens: Tokens): SharedAllowance {
     return {
         ...allowance,
