--- a/packages/router/src/__tests__/support/engineOf.ts
+++ b/packages/router/src/__tests__/support/engineOf.ts
@@ -2,7 +2,7 @@
 
 import type { EngineWeights } from "../../fleet/EngineWeights.js";
 
-/** An engine on version 1 that can be reached and has nothing to do. */
+/** Returns a reachable engine on version 1 that runs no request and has no order. */
 export function engineOf(name: string, more: Partial<EngineWeights> = {}): EngineWeights {
     return {
         endpoint: name as EndpointName,
--- a/packages/router/src/__tests__/unit/engineOrders.test.ts
+++ b/packages/router/src/__tests__/unit/engineOrders.test.ts
@@ -9,10 +9,10 @@
 import type { EndpointWire } from "../../ports/EndpointWire.js";
 import { bookOf } from "../support/bookOf.js";
 
-// A beacon or a report on an older order ends a newer one, and an engine loads the same weights twice.
+// A beacon or a report about an older order ends a newer one, and an engine loads the same weights twice.
 
 const own = (givenAt: number): EngineOrder => ({ version: 2, givenAt, seenAt: givenAt, isOwn: true });
-const told = (givenAt: number, seenAt: number): EngineOrder => ({ version: 1, givenAt, seenAt, isOwn: false });
+const received = (givenAt: number, seenAt: number): EngineOrder => ({ version: 1, givenAt, seenAt, isOwn: false });
 
 type Case = {
     readonly name: string;
@@ -22,17 +22,22 @@
 };
 
 const cases: readonly Case[] = [
-    { name: "one that was given", orders: [own(1_000)], at: 1_100, current: 1_000 },
-    { name: "one that nobody has seen for long", orders: [own(1_000)], at: 4_000, current: undefined },
-    { name: "told of an older one", orders: [own(9_000), told(1_000, 9_010)], at: 9_100, current: 9_000 },
+    { name: "an issued order is current", orders: [own(1_000)], at: 1_100, current: 1_000 },
+    { name: "an order not seen for long is dropped", orders: [own(1_000)], at: 4_000, current: undefined },
     {
-        name: "told of a newer one",
+        name: "a received older order does not replace a newer one",
+        orders: [own(9_000), received(1_000, 9_010)],
+        at: 9_100,
+        current: 9_000,
+    },
+    {
+        name: "a received newer order replaces an older one",
         orders: [own(1_000), { ...own(9_000), isOwn: false }],
         at: 9_100,
         current: 9_000,
     },
     {
-        name: "told again of another VM's, which seems a little older",
+        name: "a repeated order of another VM that seems a little older is the same one",
         orders: [{ ...own(1_000), isOwn: false }, { ...own(990), seenAt: 3_600, isOwn: false }],
         at: 4_000,
         current: 990,
@@ -51,7 +56,7 @@
     });
 });
 
-test("engine orders: only orders that are not over are told to the other VMs", t => {
+test("engine orders: only orders that have not ended are sent to the other VMs", t => {
     const { book, time, engine } = bookOf();
     book.ordered(engine, own(time.now));
     t.is(book.ownOrders().length, 1);
@@ -59,9 +64,9 @@
     t.is(book.ownOrders().length, 0);
 });
 
-/** What a report does that shows more orders taken than the followed one expected, and nothing under way. */
+/** Effects of a report with more accepted orders than the followed one expected, and none in progress. */
 const reports = [
-    { name: "a report on a void order leaves the newer one alone", newerAt: 1_050, isOver: false },
+    { name: "a report on a void order does not end a newer one", newerAt: 1_050, isOver: false },
     { name: "a report on a void order ends it", newerAt: undefined, isOver: true },
 ];
 
--- a/packages/router/src/__tests__/unit/orderLease.test.ts
+++ b/packages/router/src/__tests__/unit/orderLease.test.ts
@@ -13,19 +13,20 @@
 const SEED = 20_261_203;
 const LEASE_MS = 3_000;
 const TICK_MS = 100;
-/** Ticks between what the VMs tell each other. */
-const VOUCH_TICKS = 2;
+/** Ticks between beacons. */
+const BEACON_TICKS = 2;
 const VMS = ["a", "b", "c"] as VmId[];
 
-/** How the store treats one call: answers after a delay, or does the work and loses the answer, or refuses. */
+/** How the store handles one call: answers after a delay, executes it but loses the answer, or refuses it. */
 type Fate = { readonly kind: "answered" | "lost" | "refused"; readonly delayMs: number; };
 type Sent = { readonly at: number; readonly vm: VmId; readonly fence: number; };
 
 /**
- * Runs three VMs that all want to give orders, against one stream. `away` says which VM is stopped in a tick; its clock
- * stands still meanwhile, it learns of the pause when it goes on, and answers that came meanwhile reach it after that.
+ * Runs three VMs that all want to issue orders, against one stream. `isSuspended` returns whether a VM is suspended in
+ * a tick. Its clock stands still meanwhile; when it continues it detects the suspension, and receives answers that
+ * arrived meanwhile afterwards.
  */
-const run = (fates: readonly Fate[], away: (vm: number, tick: number) => boolean): readonly Sent[] => {
+const run = (fates: readonly Fate[], isSuspended: (vm: number, tick: number) => boolean): readonly Sent[] => {
     const stream: VmId[] = [];
     const pending: { readonly at: number; readonly act: () => void; }[] = [];
     const answers: { readonly vm: number; readonly event: OrderLeaseEvent; }[] = [];
@@ -35,7 +36,7 @@
     const time = { tick: 0 };
     const clock = (i: number): number => time.tick * TICK_MS - (vms[i]?.lostMs ?? 0);
 
-    const tell = (i: number, event: OrderLeaseEvent): void => {
+    const apply = (i: number, event: OrderLeaseEvent): void => {
         const vm = vms[i];
         if (vm === undefined) {
             return;
@@ -46,37 +47,37 @@
     };
     const perform = (i: number, effect: OrderLeaseEffect): void => {
         const fate = fates[calls.count++ % fates.length] ?? { kind: "answered", delayMs: 0 };
-        const askedAt = clock(i);
-        const later = (act: () => void): void => {
+        const requestedAt = clock(i);
+        const schedule = (act: () => void): void => {
             pending.push({ at: time.tick * TICK_MS + fate.delayMs, act });
         };
         const answer = (event: OrderLeaseEvent): void => {
             answers.push({ vm: i, event });
         };
         if (fate.kind === "refused") {
-            later(() => answer({ kind: "unsure" }));
+            schedule(() => answer({ kind: "call-failed" }));
             return;
         }
         if (effect.kind === "read") {
             const records = stream.map((holder, offset) => ({ offset, holder }));
             const event: OrderLeaseEvent = { kind: "read", records, end: stream.length };
-            later(() => answer(fate.kind === "lost" ? { kind: "unsure" } : event));
+            schedule(() => answer(fate.kind === "lost" ? { kind: "call-failed" } : event));
             return;
         }
         const write = (): OrderLeaseEvent => {
             if (effect.at !== stream.length) {
-                return { kind: "unsure" };
+                return { kind: "call-failed" };
             }
             stream.push(VMS[i] ?? VMS[0] as VmId);
-            return { kind: "appended", offset: effect.at, askedAt };
+            return { kind: "appended", offset: effect.at, requestedAt };
         };
         if (fate.kind === "lost") {
-            // Given up at once, and carried out later if the condition still holds then.
-            later(() => void write());
-            tell(i, { kind: "unsure" });
+            // The call fails at once, and is executed later if its condition still holds then.
+            schedule(() => void write());
+            apply(i, { kind: "call-failed" });
             return;
         }
-        later(() => answer(write()));
+        schedule(() => answer(write()));
     };
 
     Array.from({ length: 300 }, (_, tick) => tick).forEach(tick => {
@@ -86,24 +87,24 @@
             each.act();
         });
         vms.forEach((each, i) => {
-            if (away(i, tick)) {
+            if (isSuspended(i, tick)) {
                 each.lostMs += TICK_MS;
                 return;
             }
-            if (tick > 0 && away(i, tick - 1)) {
-                tell(i, { kind: "paused" });
+            if (tick > 0 && isSuspended(i, tick - 1)) {
+                apply(i, { kind: "paused" });
             }
             answers.filter(({ vm }) => vm === i).forEach(each => {
                 answers.splice(answers.indexOf(each), 1);
-                tell(i, each.event);
+                apply(i, each.event);
             });
             vms.forEach(({ lease: { tail } }, j) => {
-                if (j !== i && !away(j, tick) && tail !== undefined && tick % VOUCH_TICKS === 0) {
+                if (j !== i && !isSuspended(j, tick) && tail !== undefined && tick % BEACON_TICKS === 0) {
                     const ageMs = clock(j) - tail.knownSince;
-                    tell(i, { kind: "vouched", offset: tail.offset, holder: tail.holder, ageMs });
+                    apply(i, { kind: "vouched", offset: tail.offset, holder: tail.holder, ageMs });
                 }
             });
-            tell(i, { kind: "tick", isWanted: true, rank: i });
+            apply(i, { kind: "tick", isWanted: true, rank: i });
             const fence = orderFence(each.lease, clock(i));
             if (fence !== undefined) {
                 sent.push({ at: tick * TICK_MS, vm: each.vm, fence });
@@ -117,15 +118,16 @@
     kind: fc.constantFrom("answered" as const, "answered" as const, "lost" as const, "refused" as const),
     delayMs: fc.integer({ min: 0, max: 900 }),
 });
-const stops = fc.array(fc.record({ vm: fc.nat(2), from: fc.nat(250), length: fc.nat(80) }), { maxLength: 6 });
+const suspensionLists = fc.array(fc.record({ vm: fc.nat(2), from: fc.nat(250), length: fc.nat(80) }), { maxLength: 6 });
 
-// Two VMs order the same engine by turns, and it loads old weights over new ones.
-test("order lease: no two VMs give orders by turns, whatever the store and pauses do", t => {
+// Two VMs order the same engine in alternation, and it replaces new weights by old ones.
+test("order lease: no two VMs issue orders in alternation, whatever the store and suspensions do", t => {
     fc.assert(
-        fc.property(fc.array(fate, { minLength: 5, maxLength: 40 }), stops, (fates, away) => {
+        fc.property(fc.array(fate, { minLength: 5, maxLength: 40 }), suspensionLists, (fates, suspensions) => {
             const sent = run(
                 fates,
-                (vm, tick) => away.some(stop => stop.vm === vm && tick >= stop.from && tick < stop.from + stop.length),
+                (vm, tick) =>
+                    suspensions.some(each => each.vm === vm && tick >= each.from && tick < each.from + each.length),
             );
             return sent.every((order, i) => {
                 const before = sent[i - 1];
@@ -140,32 +142,32 @@
     t.pass();
 });
 
-// No VM gets the lease, as all claim behind a record that is not the last.
-test("order lease: another VM gets it though all are told of a record that is not the last", t => {
-    const lapsed = leaseTiming.holdMs + LEASE_MS + leaseTiming.marginMs + leaseTiming.staggerMs;
-    const told: OrderLeaseEvent = { kind: "vouched", offset: 16, holder: VMS[0] as VmId, ageMs: lapsed };
+// No VM acquires the lease, as all claim behind a record that is not the last one.
+test("order lease: after a failed claim behind a record that is not the last one, a VM reads the stream", t => {
+    const expired = leaseTiming.holdMs + LEASE_MS + leaseTiming.marginMs + leaseTiming.staggerMs;
+    const peerRecord: OrderLeaseEvent = { kind: "vouched", offset: 16, holder: VMS[0] as VmId, ageMs: expired };
     const tick: OrderLeaseEvent = { kind: "tick", isWanted: true, rank: 1 };
-    const failed = [told, tick, { kind: "unsure" } as const, told]
+    const failed = [peerRecord, tick, { kind: "call-failed" } as const, peerRecord]
         .reduce((state, event) => stepOrderLease(state, event, LEASE_MS, 10_000).state, newOrderLease(VMS[1] as VmId));
     t.deepEqual(stepOrderLease(failed, tick, LEASE_MS, 10_100).effects, [{ kind: "read" }]);
 });
 
-// Dozens of VMs learn of the first weights at once, and all but one read and claim in vain.
-test("order lease: when the first weights are named, one of sixty VMs asks the store", t => {
-    const asking = Array.from({ length: 60 }, (_, rank) => {
+// Dozens of VMs receive the first target weights at once, and all but one read and claim in vain.
+test("order lease: when the first target weights are set, one of sixty VMs calls the store", t => {
+    const calls = Array.from({ length: 60 }, (_, rank) => {
         const tick: OrderLeaseEvent = { kind: "tick", isWanted: true, rank };
         return stepOrderLease(newOrderLease(`vm-${rank}` as VmId), tick, LEASE_MS, 10_000).effects.length;
     });
-    t.is(asking.reduce((sum, count) => sum + count, 0), 1);
+    t.is(calls.reduce((sum, count) => sum + count, 0), 1);
 });
 
-test("order lease: with a sound store one VM holds it all the time", t => {
+test("order lease: while the store works, one VM holds it all the time", t => {
     const sent = run([{ kind: "answered", delayMs: 0 }], () => false);
     t.deepEqual([...new Set(sent.map(({ vm }) => vm))], [VMS[0]]);
     t.true(sent.length > 280);
 });
 
-test("order lease: when its holder is stopped for good, the next one has it after the lease and the margins", t => {
+test("order lease: when its holder is suspended for good, the next VM holds it after the lease and the margins", t => {
     const sent = run([{ kind: "answered", delayMs: 0 }], (vm, tick) => vm === 0 && tick >= 100);
     const next = sent.find(({ vm }) => vm !== VMS[0]);
     const { holdMs, marginMs, staggerMs } = leaseTiming;
--- a/packages/router/src/__tests__/unit/planWave.test.ts
+++ b/packages/router/src/__tests__/unit/planWave.test.ts
@@ -4,7 +4,7 @@
 import { planWave } from "../../fleet/planWave.js";
 import { engineOf } from "../support/engineOf.js";
 
-const fleet = (count: number, more: Partial<EngineWeights> = {}): readonly EngineWeights[] =>
+const enginesOf = (count: number, more: Partial<EngineWeights> = {}): readonly EngineWeights[] =>
     Array.from({ length: count }, (_, i) => engineOf(`e${i}`, more));
 const order = { version: 2, givenAt: 0, seenAt: 0, isOwn: true };
 
@@ -15,50 +15,50 @@
     readonly orders: number | readonly string[];
 };
 
-// Too many engines are away for new weights at once, or some stay on old ones until these serve nobody.
+// Too many engines are out of service for new weights at once, or some stay on old weights until these no longer serve.
 const cases: readonly Case[] = [
-    { name: "quiet: a quarter of them", engines: fleet(13), demand: 100, orders: 4 },
-    { name: "busy: what the demand leaves over", engines: fleet(13), demand: 600, orders: 4 },
+    { name: "orders a quarter of the engines at low demand", engines: enginesOf(13), demand: 100, orders: 4 },
+    { name: "orders the engines that high demand leaves to spare", engines: enginesOf(13), demand: 600, orders: 4 },
     {
-        name: "busy, and engines down",
-        engines: fleet(13).map((each, i) => ({ ...each, isUp: i > 5 })),
+        name: "orders fewer at high demand while engines are down",
+        engines: enginesOf(13).map((each, i) => ({ ...each, isUp: i > 5 })),
         demand: 300,
         orders: 2,
     },
-    { name: "late: more at once", engines: fleet(12, { outdatedMs: 4_000 }), demand: 2_000, orders: 6 },
+    { name: "orders more at once if late", engines: enginesOf(12, { outdatedMs: 4_000 }), demand: 2_000, orders: 6 },
     {
-        name: "too late: half of them, so that somebody serves",
-        engines: fleet(4, { outdatedMs: 7_500 }),
+        name: "orders half of the engines if too late, so that the others serve",
+        engines: enginesOf(4, { outdatedMs: 7_500 }),
         demand: 2_000,
         orders: 2,
     },
     {
-        name: "those that serve nobody any more: all of them",
-        engines: fleet(4, { outdatedMs: 8_500 }),
+        name: "orders all engines that no longer serve",
+        engines: enginesOf(4, { outdatedMs: 8_500 }),
         demand: 2_000,
         orders: 4,
     },
     {
-        name: "few are late, many were replaced just now: the late ones set the pace",
-        engines: fleet(12).map((each, i) => ({ ...each, outdatedMs: i < 3 ? 4_000 : 100 })),
+        name: "lets the few late engines decide the number if the weights of many were just replaced",
+        engines: enginesOf(12).map((each, i) => ({ ...each, outdatedMs: i < 3 ? 4_000 : 100 })),
         demand: 2_000,
         orders: 4,
     },
-    { name: "one engine alone goes as well", engines: fleet(1), demand: 100, orders: 1 },
+    { name: "orders a single engine", engines: enginesOf(1), demand: 100, orders: 1 },
     {
-        name: "those away count",
-        engines: fleet(8).map((each, i) => i < 1 ? { ...each, order } : each),
+        name: "counts engines that are already out of service",
+        engines: enginesOf(8).map((each, i) => i < 1 ? { ...each, order } : each),
         demand: 10,
         orders: 1,
     },
     {
-        name: "the oldest weights first, then the fewest runs",
+        name: "orders the oldest weights first, then the fewest runs",
         engines: [
             engineOf("busy", { running: 9 }),
             engineOf("newer", { version: 2 }),
             engineOf("idle"),
             engineOf("done", { version: 3 }),
-            ...fleet(4, { version: 3 }),
+            ...enginesOf(4, { version: 3 }),
         ],
         demand: 0,
         orders: ["idle", "busy"],
--- a/packages/router/src/fleet/EngineOrder.ts
+++ b/packages/router/src/fleet/EngineOrder.ts
@@ -1,12 +1,12 @@
 import type { Millis } from "@azureshunt/core";
 
-/** An order for new weights that an engine carries out, or may be carrying out. */
+/** An order to load new weights that an engine carries out, or may be carrying out. */
 export type EngineOrder = {
     readonly version: number;
-    /** When it was given; tells it from other orders to the same engine. */
+    /** When it was issued; distinguishes it from other orders to the same engine. */
     readonly givenAt: Millis;
-    /** When it was given, or was last seen under way. */
+    /** When it was issued, or last seen in progress. */
     readonly seenAt: Millis;
-    /** Whether this VM gave it. */
+    /** Whether this VM issued it. */
     readonly isOwn: boolean;
 };
--- a/packages/router/src/fleet/OrderLease.ts
+++ b/packages/router/src/fleet/OrderLease.ts
@@ -4,22 +4,22 @@
 type LeaseTail = {
     readonly offset: number;
     readonly holder: VmId;
-    /** This VM knows that the record has lain there since then. */
+    /** Earliest time at which this VM knows the record to have existed. */
     readonly knownSince: Millis;
 };
 
-/** The lease of the VM that gives orders, as one VM knows it. Times are of its own monotonic clock. */
+/** The lease of the VM that issues orders, as one VM knows it. Times are of its own monotonic clock. */
 export type OrderLease = {
     readonly vm: VmId;
-    /** Offset of the next record; undefined until the stream has been read. */
+    /** Offset of the next record; `undefined` until the stream has been read. */
     readonly end: number | undefined;
     readonly tail: LeaseTail | undefined;
-    /** When this VM sent the append that made it the holder; −∞ while it is not. */
+    /** When this VM sent the append that made it the holder; `-Infinity` while it is not the holder. */
     readonly confirmedAt: Millis;
-    /** When the process last noticed that it had been suspended; −∞ while it never was. */
-    readonly pausedAt: Millis;
-    /** Since when there have been orders to give; undefined while there are none. */
+    /** When the process last detected a suspension; `-Infinity` if it never did. */
+    readonly suspendedAt: Millis;
+    /** Since when there have been orders to issue; `undefined` while there are none. */
     readonly wantedAt: Millis | undefined;
-    /** Whether a call to the store is on its way. */
-    readonly isAsking: boolean;
+    /** Whether a call to the store is in progress. */
+    readonly isCallPending: boolean;
 };
--- a/packages/router/src/fleet/OrderLeaseEffect.ts
+++ b/packages/router/src/fleet/OrderLeaseEffect.ts
@@ -1,5 +1,5 @@
-/** What the lease asks of the store. */
+/** Call to the store that the lease requires. */
 export type OrderLeaseEffect =
     | { readonly kind: "read"; }
-    /** Append this VM's record, only if it gets offset `at`. */
+    /** Append this VM's record, provided that it gets offset `at`. */
     | { readonly kind: "append"; readonly at: number; };
--- a/packages/router/src/fleet/OrderLeaseEvent.ts
+++ b/packages/router/src/fleet/OrderLeaseEvent.ts
@@ -1,19 +1,19 @@
 import type { Millis, VmId } from "@azureshunt/core";
 
-/** What happens to the lease. */
+/** Event that changes the order lease. */
 export type OrderLeaseEvent =
     | {
         readonly kind: "read";
         readonly records: readonly { readonly offset: number; readonly holder: VmId; }[];
         readonly end: number;
     }
-    /** This VM's record was appended; the call had been sent at `askedAt`. */
-    | { readonly kind: "appended"; readonly offset: number; readonly askedAt: Millis; }
-    /** Another record came first, or no answer came: the stream has to be read. */
-    | { readonly kind: "unsure"; }
-    /** Another VM vouches that a record has been there for `ageMs`. */
+    /** This VM's record was appended by a call sent at `requestedAt`. */
+    | { readonly kind: "appended"; readonly offset: number; readonly requestedAt: Millis; }
+    /** A call failed: another record came first, or no answer came. The stream has to be read. */
+    | { readonly kind: "call-failed"; }
+    /** A peer reports that a record has existed for `ageMs`. */
     | { readonly kind: "vouched"; readonly offset: number; readonly holder: VmId; readonly ageMs: Millis; }
     /** The process may have been suspended. */
     | { readonly kind: "paused"; }
-    /** `rank`: how many VMs go before this one; `isWanted`: whether there are orders to give. */
+    /** `rank`: how many VMs may claim before this one; `isWanted`: whether there are orders to issue. */
     | { readonly kind: "tick"; readonly isWanted: boolean; readonly rank: number; };
--- a/packages/router/src/fleet/createLeaseKeeper.ts
+++ b/packages/router/src/fleet/createLeaseKeeper.ts
@@ -14,63 +14,64 @@
     readonly store: StorePort;
     readonly logger: Logger;
     readonly checkPause: () => void;
-    /** How long an engine's last order binds it to its giver. */
+    /** Time for which an engine accepts orders only from the issuer of its last one. */
     readonly leaseMs: () => number;
-    /** This VM has appended a record of the lease. */
+    /** Called when this VM has appended a record of the lease. */
     readonly onAppended: () => void;
 };
 
-/** Keeps the order lease in the store. */
+/** The order lease, kept in the store. */
 type LeaseKeeper = {
-    readonly tell: (event: OrderLeaseEvent) => void;
+    readonly apply: (event: OrderLeaseEvent) => void;
     readonly current: () => OrderLease;
 };
 
 const TOPIC = "azureshunt.order-lease";
 
-/** Runs the state machine of the order lease: performs its reads and appends, and tells it what came of them. */
+/** Runs the state machine of the order lease: performs its reads and appends, and applies their results. */
 export function createLeaseKeeper(parts: LeaseParts): LeaseKeeper {
     const { clock, store, logger } = parts;
-    const held = { lease: newOrderLease(parts.vm) };
+    const state = { lease: newOrderLease(parts.vm) };
 
-    const tell: LeaseKeeper["tell"] = event => {
-        const step = stepOrderLease(held.lease, event, parts.leaseMs(), clock.now());
-        held.lease = step.state;
+    const apply: LeaseKeeper["apply"] = event => {
+        const step = stepOrderLease(state.lease, event, parts.leaseMs(), clock.now());
+        state.lease = step.state;
         step.effects.forEach(effect => void perform(effect));
     };
 
     const read = async (): Promise<void> => {
-        const page = await store.read(TOPIC, (held.lease.tail?.offset ?? -1) + 1, 0);
+        const page = await store.read(TOPIC, (state.lease.tail?.offset ?? -1) + 1, 0);
         page.caseOf({
             Left: failure => {
                 if (failure.kind === "expired") {
-                    // Older records are gone, so nobody holds by them; the end is where the oldest kept one lies.
-                    tell({ kind: "read", records: [], end: failure.first });
+                    // Older records are deleted, so no VM holds the lease by them; the end is the offset of the oldest
+                    // retained record.
+                    apply({ kind: "read", records: [], end: failure.first });
                     return;
                 }
-                tell({ kind: "unsure" });
+                apply({ kind: "call-failed" });
             },
             Right: ({ records, end }) => {
                 const known = records.map(({ offset, value }) => ({
                     offset,
                     holder: (value?.toString("utf8") ?? "") as VmId,
                 }));
-                tell({ kind: "read", records: known, end });
+                apply({ kind: "read", records: known, end });
             },
         });
     };
 
     const append = async (at: number): Promise<void> => {
-        const askedAt = clock.now();
+        const requestedAt = clock.now();
         const appended = await store.appendAt(TOPIC, at, Buffer.from(parts.vm));
         parts.checkPause();
         appended.caseOf({
             Left: failure => {
-                logger.info({ failure: failure.kind, at }, "Order lease not taken.");
-                tell({ kind: "unsure" });
+                logger.info({ failure: failure.kind, at }, "Order lease not acquired: the append failed.");
+                apply({ kind: "call-failed" });
             },
             Right: offset => {
-                tell({ kind: "appended", offset, askedAt });
+                apply({ kind: "appended", offset, requestedAt });
                 parts.onAppended();
             },
         });
@@ -78,5 +79,5 @@
 
     const perform = (effect: OrderLeaseEffect): Promise<void> => effect.kind === "read" ? read() : append(effect.at);
 
-    return { tell, current: () => held.lease };
+    return { apply, current: () => state.lease };
 }
--- a/packages/router/src/fleet/followOrder.ts
+++ b/packages/router/src/fleet/followOrder.ts
@@ -12,7 +12,7 @@
     readonly model: ModelName;
     readonly version: number;
     readonly givenAt: Millis;
-    /** Orders that the engine was thought to have accepted before this one. */
+    /** Number of orders that the engine was assumed to have accepted before this one. */
     readonly ordersBefore: number;
 };
 
@@ -26,13 +26,14 @@
 const OK = 200;
 
 /**
- * Asks an engine for its report until it holds the ordered weights, until it shows that it has not taken the order, or
- * until another order has taken this one's place.
+ * Requests an engine's report repeatedly until the engine holds the ordered weights, shows that it did not accept the
+ * order, or has another order in place of this one.
  *
- * Failure: a report on an order that was void comes when the next one has already been accepted. Were that one taken for
- * over, the engine would be ordered again, and load the same weights twice. Guard: a report speaks of its own order alone.
+ * A report on a void order may arrive when the next order has already been accepted. If that next order were then
+ * considered ended, the engine would be ordered again and load the same weights twice. To prevent this, a report only
+ * ever ends the order that it was requested for.
  *
- * @param onEnd told once, with the version that the engine showed last
+ * @param onEnd called once, with the version that the engine last reported
  */
 export async function followOrder(
     parts: FollowParts,
@@ -55,7 +56,8 @@
     if (state?.isBusy === true && currentOrder()?.givenAt === givenAt) {
         book.ordered(endpoint, { version, givenAt, seenAt: clock.now(), isOwn: true });
     }
-    // Another count than the order expected, and nothing under way: the order is void and was not the last word.
+    // The engine accepted other orders than expected, and none is in progress: this order is void, and another one may
+    // follow.
     if (state !== undefined && !state.isBusy && (seen ?? 0) < version && state.ordersTaken !== ordersBefore) {
         book.orderOver(endpoint, givenAt);
     }
--- a/packages/router/src/fleet/leaseTiming.ts
+++ b/packages/router/src/fleet/leaseTiming.ts
@@ -1,10 +1,10 @@
-/** Times of the order lease that all VMs have to agree on, in milliseconds. */
+/** Times of the order lease in milliseconds; the same on all VMs. */
 const leaseTiming = {
-    /** How long a holder gives orders after it asked for the lease; it renews while it has more to give. */
+    /** Time for which a holder issues orders after it requested the lease; it renews while it has more to issue. */
     holdMs: 1_500,
-    /** For clocks of different rates and for orders on their way. */
+    /** Allows for clocks of different rates and for orders in transit. */
     marginMs: 400,
-    /** Between the claims of one VM and the next in line, so that they do not race. */
+    /** Between the claims of VMs of successive ranks, so that they do not race. */
     staggerMs: 300,
 } as const;
 
--- a/packages/router/src/fleet/newOrderLease.ts
+++ b/packages/router/src/fleet/newOrderLease.ts
@@ -2,15 +2,15 @@
 
 import type { OrderLease } from "./OrderLease.js";
 
-/** The lease as a process knows it at its start. */
+/** Returns the lease as a process knows it when it starts. */
 export function newOrderLease(vm: VmId): OrderLease {
     return {
         vm,
         end: undefined,
         tail: undefined,
         confirmedAt: -Infinity,
-        pausedAt: -Infinity,
+        suspendedAt: -Infinity,
         wantedAt: undefined,
-        isAsking: false,
+        isCallPending: false,
     };
 }
--- a/packages/router/src/fleet/orderTiming.ts
+++ b/packages/router/src/fleet/orderTiming.ts
@@ -1,8 +1,8 @@
 /** Times of orders to engines, in milliseconds. */
 const orderTiming = {
-    /** An order's or report's answer comes within some round trips; one without is taken as lost. */
+    /** Timeout of an order or report: its answer takes a few round trips; without one it counts as lost. */
     answerMs: 600,
-    /** A load takes no less than this; asking earlier costs calls for nothing. */
+    /** Delay of the first report: loading takes at least this long, so earlier requests would be wasted. */
     firstReportMs: 650,
     nextReportMs: 120,
 } as const;
--- a/packages/router/src/fleet/planWave.ts
+++ b/packages/router/src/fleet/planWave.ts
@@ -2,68 +2,76 @@
 
 import type { EngineWeights } from "./EngineWeights.js";
 
-/** Prompt tokens that an engine reads in a millisecond, from the deployments' sheets. */
-const TOKENS_PER_MS = 80;
-/** Part of an engine's reading that may be used: above it, reading crowds out the tokens of running answers. */
-const USABLE_PART = 0.7;
-/** Most engines that are away from service at once without need, finishing their runs or taking weights. */
-const AWAY_PART = 0.25;
-/** Part of the engines that is never exceeded while they still serve: with all away, nobody is served. */
-const MOST_AWAY_PART = 0.5;
-/** From the replacing of weights to the last engine off them: inside the time after which they serve nobody. */
-const DONE_WITHIN_MS = 8_000;
-/** One engine's runs to their end and its load, under load. */
-const TURN_MS = 2_000;
+/** Prompt tokens that an engine prefills per millisecond, from the deployment specification. */
+const PREFILL_TOKENS_PER_MS = 80;
+/** Usable fraction of an engine's prefill rate: above it, prefill crowds out the tokens of running answers. */
+const USABLE_PREFILL_FRACTION = 0.7;
+/** Fraction of engines that may be out of service at once without need, finishing their runs or loading weights. */
+const MAX_OUT_OF_SERVICE_FRACTION = 0.25;
+/** Fraction never exceeded while the engines still serve: with all out of service, no request is served. */
+const URGENT_MAX_OUT_OF_SERVICE_FRACTION = 0.5;
+/** Time from the replacement of weights until the last engine is off them; less than the time for which they serve. */
+const WAVE_DEADLINE_MS = 8_000;
+/** Time for one engine to finish its runs and load weights, under full traffic. */
+const TURNAROUND_MS = 2_000;
 
-/** What a wave is planned from. */
+/** State from which a wave is planned. */
 type WaveView = {
     /** All engines of the model. */
     readonly engines: readonly EngineWeights[];
-    /** The version that was named last. */
+    /** The newest target version. */
     readonly version: number;
-    /** Engines whose weights were replaced longer ago get no requests, so that nothing is lost by ordering them. */
+    /** Engines whose weights were replaced longer ago get no requests, so ordering them costs no capacity. */
     readonly servesForMs: Millis;
-    /** Prompt tokens that callers send in a millisecond, to all VMs. */
+    /** Prompt tokens per millisecond that callers send to all VMs. */
     readonly demand: Tokens;
 };
 
-/** How many engines the requests need, when none of them holds a part of any prompt any more. */
-const neededFor = (demand: Tokens): number => Math.ceil(demand / (TOKENS_PER_MS * USABLE_PART));
+/** Engines needed for the requests if none of them caches a prefix of any prompt any more. */
+const enginesNeeded = (demand: Tokens): number => Math.ceil(demand / (PREFILL_TOKENS_PER_MS * USABLE_PREFILL_FRACTION));
 
-/** How many of these engines have to be away at once, if the last one is to be done in time. */
-const atOnceFor = (outdated: readonly EngineWeights[], longestMs: Millis): number => {
-    const turns = Math.floor((DONE_WITHIN_MS - longestMs) / TURN_MS);
-    return turns <= 0 ? outdated.length : Math.ceil(outdated.length / turns);
+/** How many of these engines must be out of service at once for the last one to finish in time. */
+const minAtOnce = (outdated: readonly EngineWeights[], longestMs: Millis): number => {
+    const rounds = Math.floor((WAVE_DEADLINE_MS - longestMs) / TURNAROUND_MS);
+    return rounds <= 0 ? outdated.length : Math.ceil(outdated.length / rounds);
 };
 
-/** Engines whose weights were replaced as long ago as one's set how many must go at once; the strictest such set counts. */
-const dueAtOnce = (outdated: readonly EngineWeights[]): number =>
-    outdated.reduce((most, { outdatedMs }) => {
+/**
+ * How many engines must be out of service at once. Each engine and those replaced at least as long ago as it form a set
+ * with a deadline; the strictest set decides.
+ */
+const minAtOnceByDeadline = (outdated: readonly EngineWeights[]): number =>
+    outdated.reduce((max, { outdatedMs }) => {
         const asOld = outdated.filter(other => other.outdatedMs >= outdatedMs);
-        return Math.max(most, atOnceFor(asOld, outdatedMs));
+        return Math.max(max, minAtOnce(asOld, outdatedMs));
     }, 0);
 
 /**
- * Plans how engines are brought to the version that was named last: those on the oldest weights first, of these the ones
- * with the fewest runs, and no more at once than the others can stand in for.
+ * Plans which engines to order to the newest target version now: those on the oldest weights first, among these the
+ * ones with the fewest runs, and no more at once than the other engines can replace.
+ *
+ * Under load: new target weights may be set every few seconds under full traffic, while engines fail. An engine first
+ * finishes its runs, which takes longer than loading the weights. With too many engines out of service, the others are
+ * overloaded by prompts that they all have to prefill again, and their runs take ten times as long. So a quarter is
+ * ordered at once, fewer if the demand leaves fewer to spare, and more only as far as needed to get all engines off a
+ * version before it no longer serves; if that is already too late, one half is ordered before the other.
  *
- * Load: new weights are named every few seconds under full traffic, and engines fail meanwhile. An engine first finishes
- * its runs, which takes longer than the load itself. With too many away, the others drown in prompts that they all have
- * to read anew, and their runs take ten times as long. So a quarter goes at once, less where the demand leaves less over,
- * and more only as far as it takes to be off each version before it serves nobody any more; when that is too late
- * already, half of them goes before the other half.
+ * @returns the engines to order, in that order; those that get no requests come first and are not limited
  */
 export function planWave({ engines, version, demand, servesForMs }: WaveView): readonly EndpointName[] {
     const up = engines.filter(({ isUp }) => isUp);
     const outdated = up.filter(engine => engine.version < version);
-    const away = up.filter(({ order }) => order !== undefined).length;
-    const spare = Math.min(Math.ceil(up.length * AWAY_PART), up.length - neededFor(demand));
-    const most = Math.ceil(up.length * MOST_AWAY_PART);
-    const atOnce = Math.max(1, spare, Math.min(most, dueAtOnce(outdated)));
+    const outOfService = up.filter(({ order }) => order !== undefined).length;
+    const spare = Math.min(Math.ceil(up.length * MAX_OUT_OF_SERVICE_FRACTION), up.length - enginesNeeded(demand));
+    const urgentMax = Math.ceil(up.length * URGENT_MAX_OUT_OF_SERVICE_FRACTION);
+    const atOnce = Math.max(1, spare, Math.min(urgentMax, minAtOnceByDeadline(outdated)));
     const due = outdated
         .filter(({ order }) => order === undefined)
         .toSorted((a, b) => a.version - b.version || a.running - b.running);
     const idle = due.filter(({ outdatedMs }) => outdatedMs >= servesForMs);
-    const serving = due.filter(({ outdatedMs }) => outdatedMs < servesForMs).slice(0, Math.max(0, atOnce - away));
+    const serving = due.filter(({ outdatedMs }) => outdatedMs < servesForMs).slice(
+        0,
+        Math.max(0, atOnce - outOfService),
+    );
     return [...idle, ...serving].map(({ endpoint }) => endpoint);
 }
--- a/packages/router/src/fleet/rolloutOf.ts
+++ b/packages/router/src/fleet/rolloutOf.ts
@@ -1,16 +1,16 @@
 import type { EngineWeights } from "./EngineWeights.js";
 
-/** How far a model's engines have come to the version that was named last. */
+/** Progress of a model's engines towards the newest target version. */
 type Rollout = {
     /** Engines on replaced weights. */
     readonly outdated: number;
-    /** Of these, the ones that are carrying out an order. */
+    /** Of these, the engines that are carrying out an order. */
     readonly ordered: number;
-    /** Of these, the ones that this VM takes for unreachable. */
+    /** Of these, the engines without an order that this VM considers unreachable. */
     readonly unreachable: number;
 };
 
-/** Counts engines by why they are not on the version that was named last. */
+/** Counts the engines that are not on the newest target version, by reason. */
 export function rolloutOf(engines: readonly EngineWeights[], version: number): Rollout {
     const outdated = engines.filter(engine => engine.version < version);
     return {
--- a/packages/router/src/fleet/startOrders.ts
+++ b/packages/router/src/fleet/startOrders.ts
@@ -26,52 +26,52 @@
     readonly knowledge: () => Knowledge;
     readonly logger: Logger;
     readonly checkPause: () => void;
-    /** How long an engine's last order binds it to its giver. */
+    /** Time for which an engine accepts orders only from the issuer of its last one. */
     readonly leaseMs: () => Millis;
-    /** How many VMs go before this one in claiming the lease, given who held it last. */
+    /** How many VMs may claim the lease before this one, given its last holder. */
     readonly rank: (lastHolder: VmId | undefined) => number;
     /** Engines whose weights were replaced longer ago get no requests. */
     readonly servesForMs: () => Millis;
-    /** Prompt tokens that callers send in a millisecond, to all VMs. */
+    /** Prompt tokens per millisecond that callers send to all VMs. */
     readonly demand: () => Tokens;
-    /** Tells the other VMs at once which engines were ordered. */
+    /** Sends the other VMs soon, before the next round, which engines were ordered. */
     readonly tellPeers: () => void;
 };
 
-/** Gives orders to engines while this VM holds the lease. */
+/** Issues orders to engines while this VM holds the lease. */
 type Orders = {
     readonly tell: (event: OrderLeaseEvent) => void;
     readonly lease: () => OrderLease;
-    /** Looks for something to order; called ten times a second. */
+    /** Issues due orders; called ten times per second. */
     readonly tick: () => void;
 };
 
 const ACCEPTED = 202;
-const HOLDS_ALREADY = 200;
+const ALREADY_LOADED = 200;
 const CONFLICT = 409;
-/** Between two lines on how far new weights have come. */
-const ROLLOUT_EVERY_MS: Millis = 1_000;
+/** Minimum time between two log lines on the progress of a rollout. */
+const ROLLOUT_LOG_INTERVAL_MS: Millis = 1_000;
 
-/** Runs the order lease and, while it is held, brings all engines to the newest named weights. */
+/** Maintains the order lease and, while this VM holds it, brings all engines to the newest target weights. */
 export function startOrders(parts: OrderParts): Orders {
     const { clock, book, knowledge, logger } = parts;
-    const keeper = createLeaseKeeper({ ...parts, onAppended: () => work() });
+    const keeper = createLeaseKeeper({ ...parts, onAppended: () => issueDueOrders() });
 
     const wanted = (): readonly (readonly [ModelName, number])[] =>
         [...knowledge().weights]
-            .flatMap(([model, [named]]) => named === undefined ? [] : [[model, named.version] as const])
+            .flatMap(([model, [target]]) => target === undefined ? [] : [[model, target.version] as const])
             .filter(([model, version]) => book.isAnyBehind(model, version));
 
-    const ended = (
+    const onOrderEnded = (
         { endpoint, model }: { readonly endpoint: EndpointName; readonly model: ModelName; },
         seen: number | undefined,
     ): void => {
         logger.info({ endpoint, model, version: seen }, "Order ended.");
         parts.tellPeers();
-        work();
+        issueDueOrders();
     };
 
-    const order = async (endpoint: EndpointName, model: ModelName, version: number): Promise<void> => {
+    const issueOrder = async (endpoint: EndpointName, model: ModelName, version: number): Promise<void> => {
         const entry = book.entryOf(endpoint);
         const engine = book.engines(model).find(each => each.endpoint === endpoint);
         parts.checkPause();
@@ -86,8 +86,8 @@
         const call = parts.wire.encodeOrder({ endpoint, model, version, holder: parts.vm, fence, ordersTaken });
         const res = await callOnce(parts.agent, entry.address, call, orderTiming.answerMs);
         const status = res.kind === "answer" ? res.status : undefined;
-        logger.info({ endpoint, model, version, fence, ordersTaken, status, answer: res.kind }, "Order given.");
-        if (status === HOLDS_ALREADY) {
+        logger.info({ endpoint, model, version, fence, ordersTaken, status, answer: res.kind }, "Order issued.");
+        if (status === ALREADY_LOADED) {
             book.sawWeights(endpoint, version);
             return;
         }
@@ -98,13 +98,13 @@
             book.orderOver(endpoint, givenAt);
             return;
         }
-        // After a conflict the engine's own count of orders has to be learnt before it can be ordered again.
-        const wait = status === CONFLICT ? 0 : orderTiming.firstReportMs;
+        // After a conflict, the engine's own number of accepted orders must be read before it can be ordered again.
+        const delayMs = status === CONFLICT ? 0 : orderTiming.firstReportMs;
         const followed = { endpoint, model, version, givenAt, ordersBefore: ordersTaken };
-        setTimeout(() => void followOrder(parts, followed, seen => ended(followed, seen)), wait);
+        setTimeout(() => void followOrder(parts, followed, seen => onOrderEnded(followed, seen)), delayMs);
     };
 
-    const work = (): void => {
+    const issueDueOrders = (): void => {
         if (orderFence(keeper.current(), clock.now()) === undefined) {
             return;
         }
@@ -114,29 +114,35 @@
                 version,
                 servesForMs: parts.servesForMs(),
                 demand: parts.demand(),
-            }).forEach(endpoint => void order(endpoint, model, version))
+            }).forEach(endpoint => void issueOrder(endpoint, model, version))
         );
     };
 
-    /** Says how far the weights have come, at most once in a while. */
-    const told = { at: -Infinity };
-    const tellRollout = (): void => {
-        if (orderFence(keeper.current(), clock.now()) === undefined || clock.now() - told.at < ROLLOUT_EVERY_MS) {
+    /** When the progress of rollouts was last logged. */
+    const lastLogged = { at: -Infinity };
+    const logRollout = (): void => {
+        if (
+            orderFence(keeper.current(), clock.now()) === undefined ||
+            clock.now() - lastLogged.at < ROLLOUT_LOG_INTERVAL_MS
+        ) {
             return;
         }
-        told.at = clock.now();
+        lastLogged.at = clock.now();
         wanted().forEach(([model, version]) =>
-            logger.info({ model, version, ...rolloutOf(book.engines(model), version) }, "Weights are not everywhere.")
+            logger.info(
+                { model, version, ...rolloutOf(book.engines(model), version) },
+                "Rollout of weights in progress.",
+            )
         );
     };
 
     const tick = (): void => {
         const isWanted = wanted().length > 0;
-        keeper.tell({ kind: "tick", isWanted, rank: parts.rank(keeper.current().tail?.holder) });
+        keeper.apply({ kind: "tick", isWanted, rank: parts.rank(keeper.current().tail?.holder) });
         if (isWanted) {
-            work();
-            tellRollout();
+            issueDueOrders();
+            logRollout();
         }
     };
-    return { tell: keeper.tell, lease: keeper.current, tick };
+    return { tell: keeper.apply, lease: keeper.current, tick };
 }
