--- a/packages/router/src/__tests__/unit/quarantine.test.ts
+++ b/packages/router/src/__tests__/unit/quarantine.test.ts
@@ -3,14 +3,14 @@
 import fc from "fast-check";
 
 import type { CrashEvent } from "../../quarantine/CrashEvent.js";
+import type { CrashHistory } from "../../quarantine/CrashHistory.js";
 import { crashLimits } from "../../quarantine/crashLimits.js";
-import type { CrashNotes } from "../../quarantine/CrashNotes.js";
-import { stepCrashNotes } from "../../quarantine/stepCrashNotes.js";
+import { stepCrashHistory } from "../../quarantine/stepCrashHistory.js";
 
 const SEED = 20_261_203;
-const nothing: CrashNotes = { deaths: new Map(), stopped: new Map() };
-const culprit = "culprit" as RequestFingerprint;
-const innocent = "innocent" as RequestFingerprint;
+const emptyHistory: CrashHistory = { deaths: new Map(), quarantined: new Map() };
+const crashing = "crashing" as RequestFingerprint;
+const unrelated = "unrelated" as RequestFingerprint;
 const second = 1_000;
 
 type Timed = readonly [number, CrashEvent];
@@ -21,61 +21,61 @@
     running,
 });
 
-const after = (events: readonly Timed[]): CrashNotes =>
-    events.reduce((notes, [now, event]) => stepCrashNotes(notes, event, now), nothing);
+const after = (events: readonly Timed[]): CrashHistory =>
+    events.reduce((history, [now, event]) => stepCrashHistory(history, event, now), emptyHistory);
 
-type Case = { readonly name: string; readonly events: readonly Timed[]; readonly stopped: readonly string[]; };
+type Case = { readonly name: string; readonly events: readonly Timed[]; readonly quarantined: readonly string[]; };
 
 const cases: readonly Case[] = [
     {
-        name: "two deaths do not stop a request",
-        events: [[0, death("a/1", culprit)], [second, death("b/1", culprit)]],
-        stopped: [],
+        name: "two deaths do not quarantine a request",
+        events: [[0, death("a/1", crashing)], [second, death("b/1", crashing)]],
+        quarantined: [],
     },
     {
-        name: "three deaths do, and who was present at two is not stopped",
+        name: "three deaths quarantine a request, but not one that was running at two of them",
         events: [
-            [0, death("a/1", culprit, innocent)],
-            [second, death("b/1", culprit, innocent)],
-            [2 * second, death("a/2", culprit)],
+            [0, death("a/1", crashing, unrelated)],
+            [second, death("b/1", crashing, unrelated)],
+            [2 * second, death("a/2", crashing)],
         ],
-        stopped: [culprit],
+        quarantined: [crashing],
     },
     {
-        name: "one death that several VMs tell of counts once",
-        events: [[0, death("a/1", culprit)], [1, death("a/1", culprit)], [2, death("a/1", culprit)]],
-        stopped: [],
+        name: "one death reported by several VMs counts once",
+        events: [[0, death("a/1", crashing)], [1, death("a/1", crashing)], [2, death("a/1", crashing)]],
+        quarantined: [],
     },
     {
         name: "deaths far apart do not add up",
         events: [
-            [0, death("a/1", culprit)],
+            [0, death("a/1", crashing)],
             [crashLimits.rememberedMs, { kind: "tick" }],
-            [crashLimits.rememberedMs, death("b/1", culprit)],
-            [crashLimits.rememberedMs + 1, death("c/1", culprit)],
+            [crashLimits.rememberedMs, death("b/1", crashing)],
+            [crashLimits.rememberedMs + 1, death("c/1", crashing)],
         ],
-        stopped: [],
+        quarantined: [],
     },
     {
-        name: "what another VM stops is stopped here for as long",
-        events: [[0, { kind: "stopped", request: culprit, forMs: second }], [second - 1, { kind: "tick" }]],
-        stopped: [culprit],
+        name: "a request quarantined by another VM is quarantined here for the same time",
+        events: [[0, { kind: "quarantined", request: crashing, forMs: second }], [second - 1, { kind: "tick" }]],
+        quarantined: [crashing],
     },
     {
-        name: "and no longer",
-        events: [[0, { kind: "stopped", request: culprit, forMs: second }], [second, { kind: "tick" }]],
-        stopped: [],
+        name: "the quarantine by another VM ends after that time",
+        events: [[0, { kind: "quarantined", request: crashing, forMs: second }], [second, { kind: "tick" }]],
+        quarantined: [],
     },
 ];
 
-cases.forEach(({ name, events, stopped }) => {
+cases.forEach(({ name, events, quarantined }) => {
     test(`quarantine: ${name}`, t => {
-        t.deepEqual([...after(events).stopped.keys()], stopped as RequestFingerprint[]);
+        t.deepEqual([...after(events).quarantined.keys()], quarantined as RequestFingerprint[]);
     });
 });
 
-// Lost and repeated news keep a VM from stopping a request that it knows three deaths of, or fill its memory.
-test("quarantine: whoever knows of three deaths stops the request, whatever else was told in between", t => {
+// Lost and repeated updates keep a VM from quarantining a request after three known deaths, or fill its memory.
+test("quarantine: a VM that knows of three deaths quarantines the request, whatever it received in between", t => {
     const deaths = ["a/1", "b/1", "c/1"];
     fc.assert(
         fc.property(
@@ -83,12 +83,12 @@
             fc.array(fc.nat(4_000), { maxLength: 20 }),
             (order, others) => {
                 const known = new Set<string>();
-                const state = { notes: nothing };
+                const state = { history: emptyHistory };
                 return order.every((name, i) => {
                     known.add(name);
-                    const beside = others.map(n => `${n}-${i}` as RequestFingerprint);
-                    state.notes = stepCrashNotes(state.notes, death(name, ...beside, culprit), i);
-                    return state.notes.stopped.has(culprit) === (known.size === deaths.length);
+                    const alsoRunning = others.map(n => `${n}-${i}` as RequestFingerprint);
+                    state.history = stepCrashHistory(state.history, death(name, ...alsoRunning, crashing), i);
+                    return state.history.quarantined.has(crashing) === (known.size === deaths.length);
                 });
             },
         ),
--- a/packages/router/src/__tests__/unit/quarantinePort.test.ts
+++ b/packages/router/src/__tests__/unit/quarantinePort.test.ts
@@ -17,26 +17,27 @@
 const settlesFirst = (a: Promise<void>, b: Promise<void>): Promise<"first" | "second"> =>
     Promise.race([a.then(() => "first" as const), b.then(() => "second" as const)]);
 
-// A first death that is judged slowly passes for none, and the request goes on to one engine more.
-test("quarantine: a request whose second try broke off waits for the verdict on the first one too", async t => {
-    const first: { judge?: (died: boolean) => void; } = {};
+// A first death that is checked slowly counts as none, and the request is run by one more engine.
+test("quarantine: a request whose second try broke off waits for the result of the first one too", async t => {
+    const first: { settleCheck?: (died: boolean) => void; } = {};
     const { broke } = createQuarantine({
         clock: createClock(),
         hasDied: address =>
-            address === "engine-1" ? new Promise(resolve => (first.judge = resolve)) : Promise.resolve(true),
+            address === "engine-1" ? new Promise(resolve => (first.settleCheck = resolve)) : Promise.resolve(true),
         logger: pino({ level: "silent" }),
         metrics: createMetrics(),
     });
     await broke(served, endpoint("engine-1"));
     const second = broke(served, endpoint("engine-2"));
-    const later = new Promise<void>(resolve => setTimeout(resolve, 50));
-    t.is(await settlesFirst(second, later), "second", "it waits");
-    first.judge?.(true);
+    const timeout = new Promise<void>(resolve => setTimeout(resolve, 50));
+    t.is(await settlesFirst(second, timeout), "second", "it waits");
+    first.settleCheck?.(true);
     await second;
 });
 
-// A death that only its witness tells stays in one failure domain, and the request crashes three endpoints in each.
-test("quarantine: a death that was heard of is told on, once", t => {
+// A death that only its observer sends stays in one failure domain, and the request crashes three endpoints in each
+// domain.
+test("quarantine: a received death is sent on once", t => {
     const time = { now: 0 };
     const { hear, news } = createQuarantine({
         clock: { now: () => time.now, epoch: () => time.now },
--- a/packages/router/src/quarantine/createQuarantine.ts
+++ b/packages/router/src/quarantine/createQuarantine.ts
@@ -8,23 +8,24 @@
 import type { EndpointEntry } from "../registry/EndpointEntry.js";
 import type { ServedRequest } from "../serve/ServedRequest.js";
 import type { CrashEvent } from "./CrashEvent.js";
-import type { CrashNotes } from "./CrashNotes.js";
-import { stepCrashNotes } from "./stepCrashNotes.js";
+import type { CrashHistory } from "./CrashHistory.js";
+import { stepCrashHistory } from "./stepCrashHistory.js";
 
 type QuarantineParts = {
     readonly clock: Clock;
-    /** Whether nothing listens at an address any more; false where that cannot be told. */
+    /** Whether nothing listens at an address any more; false if that is unknown. */
     readonly hasDied: (address: string) => Promise<boolean>;
     readonly logger: Logger;
     readonly metrics: Metrics;
 };
 
-/** Keeps requests that crash endpoints from being run again and again. */
+/** Keeps requests that crash endpoints from being run repeatedly. */
 type Quarantine = {
     readonly isStopped: (served: ServedRequest) => boolean;
     /**
-     * A try broke off; finds out whether its endpoint died. Ends at once, unless an earlier try of the request broke off or
-     * was present at a death: then it may be the one at fault and waits for all verdicts.
+     * Reports that a try broke off, and checks whether its endpoint died. Resolves at once, unless an earlier try of
+     * the request broke off or the request was running at an earlier death: then it may be the cause, and all results
+     * are awaited.
      */
     readonly broke: (served: ServedRequest, endpoint: EndpointEntry) => Promise<void>;
     readonly hear: (beacon: Beacon) => void;
@@ -32,95 +33,95 @@
     readonly tick: () => void;
 };
 
-/** How long a death is told to the other VMs: some beacons may be lost. */
-const TOLD_MS = 3_000;
-/** Rows of each kind in one beacon, so that it fits into a datagram; the newest are told. */
-const TOLD_ROWS = 40;
+/** How long a death is sent to the other VMs: some beacons may be lost. */
+const SEND_FOR_MS = 3_000;
+/** Maximum rows of each kind in one beacon, so that it fits into a datagram; the newest are sent. */
+const MAX_SENT_ROWS = 40;
 
-type ToldDeath = { readonly request: RequestFingerprint; readonly death: string; readonly at: Millis; };
+type SentDeath = { readonly request: RequestFingerprint; readonly death: string; readonly at: Millis; };
 
 const fingerprintRequest = ({ caller, body }: ServedRequest): RequestFingerprint =>
     fingerprintOf([caller.key ?? "", caller.method, caller.host, caller.target, body]);
 
-/** Starts with nothing known. */
+/** Creates the quarantine, empty. */
 export function createQuarantine({ clock, hasDied, logger, metrics }: QuarantineParts): Quarantine {
     const state = {
-        notes: { deaths: new Map(), stopped: new Map() } as CrashNotes,
-        /** Deaths that the other VMs are told of, by this VM as their witness or because it heard of them. */
-        told: [] as readonly ToldDeath[],
+        history: { deaths: new Map(), quarantined: new Map() } as CrashHistory,
+        /** Deaths to send to the other VMs: observed by this VM or received from another one. */
+        sentDeaths: [] as readonly SentDeath[],
     };
-    const asking = new Map<string, Promise<boolean>>();
-    /** By request: settles when it is known which endpoints of its broken tries have died. */
-    const pending = new Map<RequestFingerprint, Promise<void>>();
+    const deathChecks = new Map<string, Promise<boolean>>();
+    /** By request: settles when it is known which endpoints of its broken tries died. */
+    const pendingResults = new Map<RequestFingerprint, Promise<void>>();
 
-    const tell = (event: CrashEvent): void => {
-        const before = state.notes.stopped;
-        state.notes = stepCrashNotes(state.notes, event, clock.now());
-        [...state.notes.stopped.keys()].filter(request => !before.has(request)).forEach(request => {
+    const apply = (event: CrashEvent): void => {
+        const before = state.history.quarantined;
+        state.history = stepCrashHistory(state.history, event, clock.now());
+        [...state.history.quarantined.keys()].filter(request => !before.has(request)).forEach(request => {
             metrics.count("azureshunt_quarantines_total", "Requests that are not run as they crash endpoints.");
             logger.warn({
                 fingerprint: request,
-                deaths: [...state.notes.deaths.get(request)?.keys() ?? []],
-                told: event.kind === "stopped",
-            }, "A request crashes endpoints and is not run any more.");
+                deaths: [...state.history.deaths.get(request)?.keys() ?? []],
+                told: event.kind === "quarantined",
+            }, "Quarantined a request that crashes endpoints.");
         });
     };
 
-    const noteDeath = (request: RequestFingerprint, death: string): void => {
-        state.told = [...state.told, { request, death, at: clock.now() }].slice(-TOLD_ROWS);
-        tell({ kind: "death", death, running: [request] });
+    const recordDeath = (request: RequestFingerprint, death: string): void => {
+        state.sentDeaths = [...state.sentDeaths, { request, death, at: clock.now() }].slice(-MAX_SENT_ROWS);
+        apply({ kind: "death", death, running: [request] });
     };
 
-    /** One death shows on all connections to an endpoint; it is asked once. */
-    const askOnce = (death: string, address: string): Promise<boolean> => {
-        const known = asking.get(death) ?? hasDied(address).finally(() => asking.delete(death));
-        asking.set(death, known);
+    /** Checks a death once, although it shows on all connections to the endpoint. */
+    const hasDiedOnce = (death: string, address: string): Promise<boolean> => {
+        const known = deathChecks.get(death) ?? hasDied(address).finally(() => deathChecks.delete(death));
+        deathChecks.set(death, known);
         return known;
     };
-    const judge = async (request: RequestFingerprint, endpoint: EndpointEntry): Promise<void> => {
+    const checkDeath = async (request: RequestFingerprint, endpoint: EndpointEntry): Promise<void> => {
         const death = `${endpoint.name}/${endpoint.bornAt}`;
-        if (!await askOnce(death, endpoint.address)) {
+        if (!await hasDiedOnce(death, endpoint.address)) {
             return;
         }
-        noteDeath(request, death);
+        recordDeath(request, death);
         logger.info({ endpoint: endpoint.name, fingerprint: request }, "An endpoint died while it ran a request.");
     };
 
     const broke: Quarantine["broke"] = async (served, endpoint) => {
         const request = fingerprintRequest(served);
-        const earlier = pending.get(request);
-        const isSuspect = state.notes.deaths.has(request) || earlier !== undefined;
-        const verdict = Promise.all([earlier, judge(request, endpoint)]).then(() => undefined);
-        pending.set(request, verdict);
-        void verdict.finally(() => pending.get(request) === verdict && pending.delete(request));
-        await (isSuspect ? verdict : undefined);
+        const earlier = pendingResults.get(request);
+        const isSuspect = state.history.deaths.has(request) || earlier !== undefined;
+        const result = Promise.all([earlier, checkDeath(request, endpoint)]).then(() => undefined);
+        pendingResults.set(request, result);
+        void result.finally(() => pendingResults.get(request) === result && pendingResults.delete(request));
+        await (isSuspect ? result : undefined);
     };
     const hear: Quarantine["hear"] = beacon => {
         beacon.deaths.forEach(([request, death]) => {
-            if (state.notes.deaths.get(request)?.has(death) !== true) {
-                noteDeath(request, death);
+            if (state.history.deaths.get(request)?.has(death) !== true) {
+                recordDeath(request, death);
             }
         });
         beacon.stopped.forEach(([request, forMs]) => {
-            if (!state.notes.stopped.has(request)) {
-                tell({ kind: "stopped", request, forMs });
+            if (!state.history.quarantined.has(request)) {
+                apply({ kind: "quarantined", request, forMs });
             }
         });
     };
     return {
         isStopped: served =>
-            state.notes.stopped.size > 0
-            && (state.notes.stopped.get(fingerprintRequest(served)) ?? -Infinity) > clock.now(),
+            state.history.quarantined.size > 0
+            && (state.history.quarantined.get(fingerprintRequest(served)) ?? -Infinity) > clock.now(),
         broke,
         hear,
         news: () => ({
-            deaths: state.told
-                .filter(({ at }) => clock.now() - at < TOLD_MS)
+            deaths: state.sentDeaths
+                .filter(({ at }) => clock.now() - at < SEND_FOR_MS)
                 .map(({ request, death }) => [request, death] as const),
-            stopped: [...state.notes.stopped].slice(-TOLD_ROWS).map(([request, until]) =>
+            stopped: [...state.history.quarantined].slice(-MAX_SENT_ROWS).map(([request, until]) =>
                 [request, until - clock.now()] as const
             ),
         }),
-        tick: () => tell({ kind: "tick" }),
+        tick: () => apply({ kind: "tick" }),
     };
 }
