--- a/packages/router/src/__tests__/unit/declarationReaders.test.ts
+++ b/packages/router/src/__tests__/unit/declarationReaders.test.ts
@@ -6,7 +6,8 @@
 import { routingOf } from "../support/routingOf.js";
 import { seededRandom } from "../support/seededRandom.js";
 
-// Every VM keeps a read of the declarations waiting, or the reader's end leaves the others' evidence too old to serve.
+// Every VM keeps a long-polling read of the declarations open, or the death of the reader leaves the other VMs'
+// confirmations too old to serve.
 
 const KEYS_MS = 4_400;
 
@@ -18,44 +19,44 @@
 });
 
 const due = [
-    { name: "a reader reads all the time", knowledge: confirmed(9_900), askedAt: 9_900, isReader: true, dueIn: 0 },
+    { name: "a reader always reads", knowledge: confirmed(9_900), askedAt: 9_900, isReader: true, dueIn: 0 },
     {
-        name: "a follower waits while its evidence is young",
+        name: "a follower waits while its confirmation is recent",
         knowledge: confirmed(9_900),
         askedAt: 1_000,
         isReader: false,
         dueIn: 2_400,
     },
     {
-        name: "a follower whose evidence is old reads",
+        name: "a follower whose confirmation is old reads",
         knowledge: confirmed(7_000),
         askedAt: 1_000,
         isReader: false,
         dueIn: -500,
     },
     {
-        name: "a follower that hears of a newer revision reads",
+        name: "a follower that receives a newer revision number reads",
         knowledge: confirmed(9_900, 2),
         askedAt: 1_000,
         isReader: false,
         dueIn: -8_750,
     },
     {
-        name: "one that has just read and did not find it waits: dozens would ask a store that is behind without pause",
+        name: "a follower that just read and did not find it waits, or dozens would read an outdated store in a loop",
         knowledge: confirmed(9_900, 2),
         askedAt: 9_990,
         isReader: false,
         dueIn: 240,
     },
     {
-        name: "one that has just read and found nothing that it can read waits",
+        name: "a VM that just read and found no readable record waits",
         knowledge: noKnowledge,
         askedAt: 9_990,
         isReader: false,
         dueIn: 240,
     },
     {
-        name: "one that knows nothing reads",
+        name: "a VM without a configuration reads",
         knowledge: noKnowledge,
         askedAt: -Infinity,
         isReader: false,
@@ -74,35 +75,38 @@
     readonly vms: number;
     readonly loss: number;
     readonly isTurnedAway: (vm: number, now: number) => boolean;
-    readonly mostReads: number;
+    readonly maxReads: number;
 };
 
-/** Reads a second: each reader's wait, the followers that took over or doubted, and the tries of those turned away. */
+/**
+ * Reads per second: those of the readers, of followers with an old confirmation, and retries of VMs that the store
+ * refuses.
+ */
 const cases: readonly Case[] = [
-    { name: "six VMs", vms: 6, loss: 0.02, isTurnedAway: () => false, mostReads: 4 },
-    { name: "sixty VMs", vms: 60, loss: 0.02, isTurnedAway: () => false, mostReads: 8 },
-    { name: "sixty VMs, a fifth of beacons lost", vms: 60, loss: 0.2, isTurnedAway: () => false, mostReads: 12 },
+    { name: "six VMs", vms: 6, loss: 0.02, isTurnedAway: () => false, maxReads: 4 },
+    { name: "sixty VMs", vms: 60, loss: 0.02, isTurnedAway: () => false, maxReads: 8 },
+    { name: "sixty VMs, a fifth of beacons lost", vms: 60, loss: 0.2, isTurnedAway: () => false, maxReads: 12 },
     {
-        name: "sixty VMs, the store turns the readers of all domains away",
+        name: "sixty VMs, the store refuses the readers of all domains",
         vms: 60,
         loss: 0.02,
         isTurnedAway: (vm, now) => vm < 3 && now > 7_000,
-        mostReads: 30,
+        maxReads: 30,
     },
     {
-        name: "sixty VMs, the store turns a whole domain away",
+        name: "sixty VMs, the store refuses a whole domain",
         vms: 60,
         loss: 0.02,
         isTurnedAway: (vm, now) => vm % 3 === 0 && now > 7_000,
-        mostReads: 100,
+        maxReads: 100,
     },
 ];
-cases.forEach(({ name, vms, loss, isTurnedAway, mostReads }) => {
-    test(`declarations: evidence stays young enough for keys: ${name}`, t => {
+cases.forEach(({ name, vms, loss, isTurnedAway, maxReads }) => {
+    test(`declarations: confirmations stay recent enough for keys: ${name}`, t => {
         const seen = evidenceFleet({ vms, domains: 3, forMs: 15_000, random: seededRandom(SEED), loss, isTurnedAway });
         t.log(seen);
         t.true(seen.oldestMs < KEYS_MS, `${seen.oldestMs} ms`);
-        t.true(seen.oldestTurnedAwayMs < KEYS_MS, `${seen.oldestTurnedAwayMs} ms where the store turns it away`);
-        t.true(seen.readsPerSecond <= mostReads, `${seen.readsPerSecond} reads a second`);
+        t.true(seen.oldestTurnedAwayMs < KEYS_MS, `${seen.oldestTurnedAwayMs} ms on VMs that the store refuses`);
+        t.true(seen.readsPerSecond <= maxReads, `${seen.readsPerSecond} reads per second`);
     });
 });
--- a/packages/router/src/__tests__/unit/knowledge.test.ts
+++ b/packages/router/src/__tests__/unit/knowledge.test.ts
@@ -2,18 +2,18 @@
 import test from "ava";
 
 import { createPauseWatch } from "../../knowledge/createPauseWatch.js";
-import type { KnowledgeEvent } from "../../knowledge/KnowledgeEvent.js";
+import type { DeclarationEvent } from "../../knowledge/DeclarationEvent.js";
 import { noKnowledge } from "../../knowledge/noKnowledge.js";
 import { outdatedSince } from "../../knowledge/outdatedSince.js";
 import { stepKnowledge } from "../../knowledge/stepKnowledge.js";
 import { routingOf } from "../support/routingOf.js";
 
 const MODEL = "m" as ModelName;
-const configuration = (revision: number): KnowledgeEvent => ({
+const configuration = (revision: number): DeclarationEvent => ({
     kind: "configuration",
     configuration: routingOf(revision, []),
 });
-const confirmed = (revision: number, asOf: number, stampedAt: number = asOf): KnowledgeEvent => ({
+const confirmed = (revision: number, asOf: number, stampedAt: number = asOf): DeclarationEvent => ({
     kind: "confirmed",
     revision,
     asOf,
@@ -22,86 +22,87 @@
 
 type Case = {
     readonly name: string;
-    readonly events: readonly KnowledgeEvent[];
+    readonly events: readonly DeclarationEvent[];
     readonly revision: number | undefined;
-    readonly heard: number;
+    readonly newestRevision: number;
     readonly confirmedAt: number;
 };
 
-// An older revision is put back in force or confirmed, and a withdrawn key works again.
+// An older revision is applied again or confirmed, and a withdrawn key works again.
 const cases: readonly Case[] = [
     {
         name: "an older configuration changes nothing",
         events: [configuration(5), configuration(4)],
         revision: 5,
-        heard: 5,
+        newestRevision: 5,
         confirmedAt: -Infinity,
     },
     {
-        name: "a lagging VM confirms nothing",
+        name: "an outdated VM confirms nothing",
         events: [configuration(5), confirmed(5, 100), confirmed(4, 900)],
         revision: 5,
-        heard: 5,
+        newestRevision: 5,
         confirmedAt: 100,
     },
     {
-        name: "a newer revision that was only heard of confirms nothing",
+        name: "a newer revision known only by number confirms nothing",
         events: [configuration(5), confirmed(5, 100), confirmed(6, 900)],
         revision: 5,
-        heard: 6,
+        newestRevision: 6,
         confirmedAt: 100,
     },
     {
-        name: "a confirmation that was overtaken does not make knowledge older",
+        name: "an older confirmation that arrives later changes nothing",
         events: [configuration(5), confirmed(5, 700), confirmed(5, 200)],
         revision: 5,
-        heard: 5,
+        newestRevision: 5,
         confirmedAt: 700,
     },
     {
-        name: "a pause voids what was confirmed and keeps the configuration",
-        events: [configuration(5), confirmed(5, 700), { kind: "paused" }],
+        name: "a suspension voids the confirmation and keeps the configuration",
+        events: [configuration(5), confirmed(5, 700), { kind: "suspended" }],
         revision: 5,
-        heard: 5,
+        newestRevision: 5,
         confirmedAt: -Infinity,
     },
     {
-        // The VM was suspended, and its clock stood still, while the answer lay in its buffer: it is older than it looks.
-        name: "what was asked before a pause confirms nothing, though its answer comes after it",
-        events: [configuration(5), { kind: "paused" }, confirmed(5, 1_000)],
+        // The VM was suspended, with its clock standing still, while the answer was in its buffer: it is older than it
+        // looks.
+        name: "an answer to a query sent before a suspension confirms nothing",
+        events: [configuration(5), { kind: "suspended" }, confirmed(5, 1_000)],
         revision: 5,
-        heard: 5,
+        newestRevision: 5,
         confirmedAt: -Infinity,
     },
     {
-        // The peer held the stamp while this VM was suspended, so that it seems to have told of a time still to come.
-        name: "a peer that echoes a stamp from before a pause confirms nothing",
-        events: [configuration(5), { kind: "paused" }, confirmed(5, 1_400, 990)],
+        // The peer held the timestamp while this VM was suspended, so its confirmation seems to be of a future time.
+        name: "a peer that echoes a timestamp from before a suspension confirms nothing",
+        events: [configuration(5), { kind: "suspended" }, confirmed(5, 1_400, 990)],
         revision: 5,
-        heard: 5,
+        newestRevision: 5,
         confirmedAt: -Infinity,
     },
     {
-        name: "a peer that echoes a stamp from after a pause does",
-        events: [configuration(5), { kind: "paused" }, confirmed(5, 990, 1_001)],
+        name: "a peer that echoes a timestamp from after a suspension confirms",
+        events: [configuration(5), { kind: "suspended" }, confirmed(5, 990, 1_001)],
         revision: 5,
-        heard: 5,
+        newestRevision: 5,
         confirmedAt: 990,
     },
 ];
 
-cases.forEach(({ name, events, revision, heard, confirmedAt }) => {
-    test(`knowledge: ${name}`, t => {
+cases.forEach(({ name, events, revision, newestRevision, confirmedAt }) => {
+    test(`declared state: ${name}`, t => {
         const known = events.reduce((state, event) => stepKnowledge(state, event, 1_000), noKnowledge);
         t.is(known.configuration?.revision, revision);
-        t.is(known.heardRevision, heard);
+        t.is(known.heardRevision, newestRevision);
         t.is(known.confirmedAt, confirmedAt);
     });
 });
 
-test("knowledge: weights are outdated since the next version after them was named, not since the last one", t => {
-    const named = [[2, 100], [3, 500], [4, 900]] as const;
-    const known = named.reduce(
+test("declared state: weights are outdated since the next version after them was set, not since the newest one", t => {
+    const targets = [[2, 100], [3, 500], [4, 900]] as const;
+    const known = targets.reduce(
         (state, [version, at]) => stepKnowledge(state, { kind: "weights", model: MODEL, version }, at),
         noKnowledge,
     );
@@ -111,24 +112,24 @@
     t.is(outdatedSince(known, MODEL, 4), undefined);
 });
 
-// What a VM knows passes for fresh after a suspension, as its monotonic clock stood still.
+// The state of a VM counts as fresh after a suspension, as its monotonic clock stood still.
 const jumps = [
-    { name: "four seconds of suspension", epochMs: 4_010, nowMs: 10, pauses: 1 },
-    { name: "a time of day stepped back", epochMs: -2_400, nowMs: 10, pauses: 1 },
-    { name: "late timers", epochMs: 510, nowMs: 500, pauses: 0 },
+    { name: "four seconds of suspension", epochMs: 4_010, nowMs: 10, suspensions: 1 },
+    { name: "a time of day stepped back", epochMs: -2_400, nowMs: 10, suspensions: 1 },
+    { name: "late timers", epochMs: 510, nowMs: 500, suspensions: 0 },
 ] as const;
 
-jumps.forEach(({ name, epochMs, nowMs, pauses }) => {
-    test(`pause watch: ${name}`, t => {
+jumps.forEach(({ name, epochMs, nowMs, suspensions }) => {
+    test(`suspension watch: ${name}`, t => {
         const time = { now: 0, epoch: 1_000_000 };
-        const seen = { pauses: 0 };
+        const seen = { suspensions: 0 };
         const watch = createPauseWatch({ now: () => time.now, epoch: () => time.epoch }, () => {
-            seen.pauses += 1;
+            seen.suspensions += 1;
         });
         time.now += nowMs;
         time.epoch += epochMs;
         watch.check();
         watch.check();
-        t.is(seen.pauses, pauses);
+        t.is(seen.suspensions, suspensions);
     });
 });
--- a/packages/router/src/knowledge/KnowledgeEvent.ts
+++ b/packages/router/src/knowledge/DeclarationEvent.ts
@@ -2,8 +2,8 @@
 
 import type { RoutingConfiguration } from "../configuration/RoutingConfiguration.js";
 
-/** What a VM learns of the operators' will. */
-export type KnowledgeEvent =
+/** What a VM learns of the operators' declarations. */
+export type DeclarationEvent =
     /** A configuration, from the store or from another VM. */
     | { readonly kind: "configuration"; readonly configuration: RoutingConfiguration; }
     /** At `asOf`, `revision` was the newest one. */
@@ -11,9 +11,9 @@
         readonly kind: "confirmed";
         readonly revision: number;
         readonly asOf: Millis;
-        /** When this VM sent what was answered: its read, or the stamp that a peer echoed. */
+        /** When this VM sent what was answered: its read, or the timestamp that a peer echoed. */
         readonly stampedAt: Millis;
     }
     | { readonly kind: "weights"; readonly model: ModelName; readonly version: number; }
-    /** The process may have been suspended, or its clock stepped: nothing is known to be fresh. */
-    | { readonly kind: "paused"; };
+    /** The process may have been suspended, or its clock stepped: no data is known to be fresh. */
+    | { readonly kind: "suspended"; };
--- a/packages/router/src/knowledge/Knowledge.ts
+++ b/packages/router/src/knowledge/Knowledge.ts
@@ -2,21 +2,23 @@
 
 import type { RoutingConfiguration } from "../configuration/RoutingConfiguration.js";
 
-/** New weights that the operators named for a model, and when this VM learnt of them. */
-type NamedWeights = { readonly version: number; readonly learntAt: Millis; };
+/** Target weights that the operators set for a model, and when this VM learnt of them. */
+type TargetWeights = { readonly version: number; readonly learntAt: Millis; };
 
-/** The last versions that were named for a model, the newest first; never empty. */
-type WeightsHistory = readonly NamedWeights[];
+/** The last target versions of a model, newest first; never empty. */
+type WeightsHistory = readonly TargetWeights[];
 
-/** What a VM knows of the operators' will, and how old that knowledge is. Times are of its own monotonic clock. */
+/**
+ * The configuration and target weights that operators declared, as one VM knows them. Times are of its monotonic clock.
+ */
 export type Knowledge = {
-    /** The newest configuration seen by this process; it never goes back. */
+    /** The newest configuration that this process received; never replaced by an older one. */
     readonly configuration: RoutingConfiguration | undefined;
-    /** The newest revision heard of; above the configuration's own while that one is still to be fetched. */
+    /** The newest revision known to exist; above that of `configuration` until the newer one is read. */
     readonly heardRevision: number;
-    /** Up to when `configuration` is known to have been the newest one; −∞ when that has to be confirmed anew. */
+    /** Time as of which `configuration` was known to be the newest; `-Infinity` until that is confirmed. */
     readonly confirmedAt: Millis;
-    /** When the process last noticed that it had been suspended; −∞ while it never was. */
-    readonly pausedAt: Millis;
+    /** When the process last detected a suspension; `-Infinity` if it never did. */
+    readonly suspendedAt: Millis;
     readonly weights: ReadonlyMap<ModelName, WeightsHistory>;
 };
--- a/packages/router/src/knowledge/declarationsDueIn.ts
+++ b/packages/router/src/knowledge/declarationsDueIn.ts
@@ -3,34 +3,35 @@
 import type { Knowledge } from "./Knowledge.js";
 
 /**
- * Age of its evidence at which a VM that leaves the reading to another one reads for itself: early enough that a second read
- * still comes before keys are refused, and late enough for a beacon or two to be lost.
+ * Age of the last confirmation at which a VM that leaves reading to another one reads for itself: early enough for a
+ * second read before keys are refused, and late enough for one or two beacons to be lost.
  */
-const FOLLOW_MS: Millis = 2_500;
+const FOLLOWER_READ_AGE_MS: Millis = 2_500;
 
-/** Least time between two reads: the store may be behind, or hold nothing that can be read, for seconds. */
-const AGAIN_MS: Millis = 250;
+/** Minimum time between two reads: the store may be outdated, or hold no readable record, for seconds. */
+const MIN_READ_INTERVAL_MS: Millis = 250;
 
-type DueQuestion = {
+type DueInputs = {
     readonly knowledge: Knowledge;
-    /** When this VM last asked the store; −∞ before it has. */
+    /** When this VM last sent a read to the store; `-Infinity` until then. */
     readonly askedAt: Millis;
     /** Whether this VM reads the declarations for the others of its failure domain. */
     readonly isReader: boolean;
 };
 
 /**
- * Says in how many milliseconds a VM has to read the operators' declarations; 0 or less means now.
+ * Returns in how many milliseconds a VM has to read the operators' declarations; 0 or less means now.
  *
- * Load: dozens of VMs each keep a read waiting, and nearly all of these reads show nothing. One VM of each failure domain
- * reads, and its beacons vouch for the others' knowledge. A VM that hears of a newer revision reads it at once, and one
- * whose evidence gets old, as its reader has died or is cut off, reads for itself without anybody deciding so.
+ * With dozens of VMs that each keep a long-polling read open, nearly all of these reads would return nothing. So one VM
+ * of each failure domain reads, and its beacons confirm the declared state of the others. A VM that receives a newer
+ * revision number reads at once. A VM whose last confirmation gets old, since its reader died or is cut off, reads for
+ * itself; this needs no agreement between VMs.
  */
-export function declarationsDueIn({ knowledge, askedAt, isReader }: DueQuestion, now: Millis): Millis {
+export function declarationsDueIn({ knowledge, askedAt, isReader }: DueInputs, now: Millis): Millis {
     if (isReader) {
         return 0;
     }
-    const isBehind = knowledge.heardRevision > (knowledge.configuration?.revision ?? -1);
-    const wantedAt = isBehind ? -Infinity : knowledge.confirmedAt + FOLLOW_MS;
-    return Math.max(wantedAt, askedAt + AGAIN_MS) - now;
+    const isOutdated = knowledge.heardRevision > (knowledge.configuration?.revision ?? -1);
+    const dueAt = isOutdated ? -Infinity : knowledge.confirmedAt + FOLLOWER_READ_AGE_MS;
+    return Math.max(dueAt, askedAt + MIN_READ_INTERVAL_MS) - now;
 }
--- a/packages/router/src/knowledge/noKnowledge.ts
+++ b/packages/router/src/knowledge/noKnowledge.ts
@@ -1,11 +1,11 @@
 import type { Knowledge } from "./Knowledge.js";
 
-/** What a process knows at its start. */
+/** The declared state as a process knows it when it starts. */
 const noKnowledge: Knowledge = {
     configuration: undefined,
     heardRevision: -1,
     confirmedAt: -Infinity,
-    pausedAt: -Infinity,
+    suspendedAt: -Infinity,
     weights: new Map(),
 };
 
--- a/packages/router/src/knowledge/outdatedSince.ts
+++ b/packages/router/src/knowledge/outdatedSince.ts
@@ -3,10 +3,10 @@
 import type { Knowledge } from "./Knowledge.js";
 
 /**
- * Says when weights were first replaced: when the next version after them was named, however many came since.
+ * Returns when this VM learnt of the first target version newer than `version`, however many followed.
  *
- * @returns undefined where no newer version is known
+ * @returns `undefined` if no newer version is known
  */
 export function outdatedSince(knowledge: Knowledge, model: ModelName, version: number): Millis | undefined {
-    return (knowledge.weights.get(model) ?? []).filter(named => named.version > version).at(-1)?.learntAt;
+    return (knowledge.weights.get(model) ?? []).filter(target => target.version > version).at(-1)?.learntAt;
 }
--- a/packages/router/src/knowledge/readerWaitMs.ts
+++ b/packages/router/src/knowledge/readerWaitMs.ts
@@ -1,15 +1,17 @@
 import type { Millis } from "@azureshunt/core";
 
-/** How long a read waits for a declaration: keys stay confirmed though the next read fails. */
+/** Longest time that a read waits for a declaration: short enough for keys to stay confirmed if the next read fails. */
 const WAIT_MS: Millis = 1_200;
-/** Part of the time between two beacons by which it waits less: its word is older when it comes to the others. */
-const NEWS_PART = 0.5;
+/**
+ * Fraction of the beacon interval by which the wait is shorter, since confirmations are older when others receive them.
+ */
+const BEACON_INTERVAL_FRACTION = 0.5;
 
 /**
- * Says how long a read of the VM that reads for the others waits for a declaration, in whole milliseconds.
+ * Returns how long a read waits for a declaration on the VM that reads for the others, in whole milliseconds.
  *
- * @param newsEveryMs time between two beacons to one VM
+ * @param beaconIntervalMs time between two beacons to one VM
  */
-export function readerWaitMs(newsEveryMs: Millis): Millis {
-    return Math.round(WAIT_MS - NEWS_PART * newsEveryMs);
+export function readerWaitMs(beaconIntervalMs: Millis): Millis {
+    return Math.round(WAIT_MS - BEACON_INTERVAL_FRACTION * beaconIntervalMs);
 }
--- a/packages/router/src/knowledge/startKnowledge.ts
+++ b/packages/router/src/knowledge/startKnowledge.ts
@@ -10,40 +10,42 @@
 import { createTopicMirror } from "../store/createTopicMirror.js";
 import { followTopic } from "../store/followTopic.js";
 import type { TopicAnswer } from "../store/TopicAnswer.js";
+import type { DeclarationEvent } from "./DeclarationEvent.js";
 import { declarationsDueIn } from "./declarationsDueIn.js";
 import type { Knowledge } from "./Knowledge.js";
-import type { KnowledgeEvent } from "./KnowledgeEvent.js";
 import { noKnowledge } from "./noKnowledge.js";
 import { readerWaitMs } from "./readerWaitMs.js";
 import { stepKnowledge } from "./stepKnowledge.js";
 
-type KnowledgeParts = {
+type DeclarationParts = {
     readonly clock: Clock;
     readonly store: StorePort;
     readonly wire: DirectoryWire;
     readonly agent: EndpointAgent;
     readonly logger: Logger;
     readonly metrics: Metrics;
-    /** Something was learnt that other VMs should hear at once. */
+    /** Called when this VM learnt something that the other VMs should receive soon. */
     readonly onNews: () => void;
     /** Whether this VM reads the declarations for the others of its failure domain. */
     readonly isReader: () => boolean;
     /** Time between two beacons to one VM. */
     readonly newsEveryMs: () => Millis;
-    /** Asks a relay for a topic; see `followTopic`. */
+    /** Queries a relay for a topic; see `followTopic`. */
     readonly askRelay: (topic: string, from: number | undefined) => Promise<TopicAnswer | undefined>;
     readonly isHeld: () => boolean;
-    /** Looks for a pause of the process, before an answer is taken as fresh. */
+    /** Checks whether the process was suspended, before an answer counts as fresh. */
     readonly checkPause: () => void;
 };
 
-/** What this VM knows of the operators' declarations. */
-type KnowledgeKeeper = {
+/** The operators' declarations, as this VM knows them. */
+type Declarations = {
     readonly current: () => Knowledge;
-    /** The configuration as the store gave it. */
+    /** The configuration as read, undecoded; `undefined` until there is one. */
     readonly raw: () => Buffer | undefined;
     readonly hasStore: () => boolean;
-    /** What a relay answers for the declarations; undefined where it knows nothing fresh. */
+    /**
+     * Returns what this VM, as a relay, answers to a query for the declarations; `undefined` if it has nothing fresh.
+     */
     readonly answer: (from: number | undefined) => TopicAnswer | undefined;
     /** @param address peer address of the beacon's sender */
     readonly hear: (heard: Heard, address: string) => void;
@@ -51,33 +53,35 @@
     readonly stop: () => void;
 };
 
-const FETCH_MS = 1_000;
-/** A relay answers for the store while what it knows is no older: a VM that asks it could else read something newer. */
-const ANSWERS_MS: Millis = 2_000;
-/** The store counts as read while its last answer is no older: the longest wait of a read, and its answer when slow. */
-const STORE_MS: Millis = 3_300;
+const FETCH_TIMEOUT_MS = 1_000;
+/** Maximum age of what a relay answers in place of the store: beyond it, the store could give the VM newer data. */
+const MAX_ANSWER_AGE_MS: Millis = 2_000;
+/**
+ * Maximum age of the store's last answer while it counts as available: the longest wait of a read plus a slow answer.
+ */
+const STORE_AVAILABLE_MS: Millis = 3_300;
 const OK = 200;
 
 /** Follows the operators' declarations in the store and through the other VMs. */
-export function startKnowledge(parts: KnowledgeParts): KnowledgeKeeper {
+export function startKnowledge(parts: DeclarationParts): Declarations {
     const { clock, wire, logger, metrics } = parts;
     const mirror = createTopicMirror((before, now) => before.equals(now));
     const state = {
         knowledge: noKnowledge,
         raw: undefined as Buffer | undefined,
-        /** The newest revision that was read in the topic, and not got from another VM. */
+        /** The newest revision read from the topic, as opposed to fetched from another VM. */
         readRevision: -1,
         storeAt: -Infinity,
-        /** When the last read that was answered had been sent. */
+        /** When the last answered read was sent. */
         askedAt: -Infinity,
-        isStoreThere: false,
+        isStoreAvailable: false,
         storeChangedAt: clock.now(),
         isFetching: false,
         isReadFailing: false,
         isReadable: true,
     };
 
-    const tell = (event: KnowledgeEvent): void => {
+    const apply = (event: DeclarationEvent): void => {
         const before = state.knowledge;
         state.knowledge = stepKnowledge(before, event, clock.now());
         if (state.knowledge.configuration !== before.configuration) {
@@ -85,15 +89,16 @@
             parts.onNews();
         }
         if (state.knowledge.weights !== before.weights && event.kind === "weights") {
-            logger.info({ model: event.model, version: event.version }, "New weights named.");
+            logger.info({ model: event.model, version: event.version }, "Target weights changed.");
             parts.onNews();
         }
     };
 
     /**
-     * What can't be read leaves the last good one in force; it is counted and logged.
+     * Decodes and applies a declaration. One that cannot be decoded is counted and logged, and the last valid one stays
+     * in force.
      *
-     * @returns the revision where it is a configuration
+     * @returns the revision if it is a configuration
      */
     const declare = (key: string, value: Buffer): number | undefined =>
         wire.decodeDeclaration(key, value).caseOf<number | undefined>({
@@ -102,7 +107,7 @@
                 metrics.count("azureshunt_unreadable_total", "Records that could not be read.", {
                     what: "declaration",
                 });
-                logger.warn({ key, fault }, "A declaration cannot be read; the last good one stays in force.");
+                logger.warn({ key, fault }, "Decoding a declaration failed; the last valid one stays in force.");
                 return undefined;
             },
             Right: declaration => {
@@ -115,19 +120,22 @@
                     state.raw = isNewer ? value : state.raw;
                     state.isReadable = true;
                 }
-                tell(declaration);
+                apply(declaration);
                 return revision;
             },
         });
 
-    const hasStore = (): boolean => clock.now() - state.storeAt < STORE_MS;
-    const noteStore = (): void => {
-        const isThere = hasStore();
-        if (isThere !== state.isStoreThere) {
-            state.isStoreThere = isThere;
+    const hasStore = (): boolean => clock.now() - state.storeAt < STORE_AVAILABLE_MS;
+    const logStoreAvailability = (): void => {
+        const isAvailable = hasStore();
+        if (isAvailable !== state.isStoreAvailable) {
+            state.isStoreAvailable = isAvailable;
             const changedMs = Math.round(clock.now() - state.storeChangedAt);
             state.storeChangedAt = clock.now();
-            logger.info({ store: isThere, changedMs }, isThere ? "The store answers." : "The store does not answer.");
+            logger.info(
+                { store: isAvailable, changedMs },
+                isAvailable ? "The store answers." : "The store does not answer.",
+            );
         }
     };
 
@@ -148,12 +156,12 @@
             state.askedAt = askedAt;
             state.isReadFailing = false;
             mirror.note({ records, end, isWhole });
-            noteStore();
+            logStoreAvailability();
             const read = records.map(({ key, value }) => value === undefined ? undefined : declare(key, value));
             state.readRevision = Math.max(state.readRevision, ...read.map(each => each ?? -1));
             const revision = state.knowledge.configuration?.revision;
             if (revision !== undefined && state.isReadable) {
-                tell({ kind: "confirmed", revision, asOf, stampedAt: askedAt });
+                apply({ kind: "confirmed", revision, asOf, stampedAt: askedAt });
             }
         },
         onFailure: kind => {
@@ -162,7 +170,7 @@
                 kind,
             });
             state.isReadFailing = true;
-            noteStore();
+            logStoreAvailability();
         },
     });
 
@@ -172,35 +180,37 @@
         }
         state.isFetching = true;
         const call = { method: "GET", target: "/configuration", headers: ["Host", address], body: Buffer.alloc(0) };
-        const res = await callOnce(parts.agent, address, call, FETCH_MS);
+        const res = await callOnce(parts.agent, address, call, FETCH_TIMEOUT_MS);
         state.isFetching = false;
         if (res.kind === "answer" && res.status === OK) {
             declare("config", res.body);
         }
     };
 
-    const hear: KnowledgeKeeper["hear"] = ({ beacon, sentAfter, stampedAt }, address) => {
-        beacon.weights.forEach(([model, version]) => tell({ kind: "weights", model, version }));
+    const hear: Declarations["hear"] = ({ beacon, sentAfter, stampedAt }, address) => {
+        beacon.weights.forEach(([model, version]) => apply({ kind: "weights", model, version }));
         if (beacon.confirmedMs !== undefined) {
             const asOf = sentAfter - beacon.confirmedMs;
-            tell({ kind: "confirmed", revision: beacon.revision, asOf, stampedAt });
+            apply({ kind: "confirmed", revision: beacon.revision, asOf, stampedAt });
         }
-        // With the store in reach its own record is read; dozens of VMs that ask one peer would fill its link.
+        // While the store is available, its record is read instead: dozens of VMs fetching from one peer would saturate
+        // its link.
         if (state.isReadFailing && beacon.revision > (state.knowledge.configuration?.revision ?? -1)) {
             void fetchFrom(address);
         }
     };
     /**
-     * Failure: the store turns a relay away, and it gets the newest configuration from another VM. A VM that asks it is told
-     * that nothing came since its own last record, and takes what it has for the newest. Guard: a relay answers only while
-     * what it knows to be the newest lies among the records that it gives.
+     * If the store refuses a relay, the relay gets the newest configuration from another VM. A VM that queries it would
+     * get the answer that there are no records after its own last one, and take its own configuration for the newest.
+     * To prevent this, a relay answers only if the newest configuration that it knows is among the records that it
+     * read.
      */
-    const answer: KnowledgeKeeper["answer"] = from => {
+    const answer: Declarations["answer"] = from => {
         parts.checkPause();
         const { configuration, confirmedAt } = state.knowledge;
         const ageMs = clock.now() - confirmedAt;
         const isRead = configuration?.revision === state.readRevision && state.isReadable;
-        const page = isRead && ageMs < ANSWERS_MS ? mirror.answer(from) : undefined;
+        const page = isRead && ageMs < MAX_ANSWER_AGE_MS ? mirror.answer(from) : undefined;
         return page === undefined ? undefined : { ...page, ageMs };
     };
     return {
@@ -209,7 +219,7 @@
         raw: () => state.raw,
         hasStore,
         hear,
-        pause: () => tell({ kind: "paused" }),
+        pause: () => apply({ kind: "suspended" }),
         stop,
     };
 }
