--- a/packages/router/src/allowance/createOrganisationDemand.ts
+++ b/packages/router/src/allowance/createOrganisationDemand.ts
@@ -32,7 +32,7 @@
     const own: OrganisationDemand["own"] = organisation => MS_PER_SECOND * (owns.get(organisation)?.rate() ?? 0);
     const others: OrganisationDemand["others"] = (organisation, isCounted) =>
         [...received.get(organisation) ?? []]
-            .filter(([spender, { receivedAt: at }]) => clock.now() - at < VALID_MS && isCounted(spender))
+            .filter(([spender, { receivedAt }]) => clock.now() - receivedAt < VALID_MS && isCounted(spender))
             .reduce((sum, [, { perSecond }]) => sum + perSecond, 0);
     return {
         own,
--- a/packages/router/src/fleet/startOrders.ts
+++ b/packages/router/src/fleet/startOrders.ts
@@ -122,8 +122,8 @@
     const lastLogged = { at: -Infinity };
     const logRollout = (): void => {
         if (
-            orderFence(keeper.current(), clock.now()) === undefined ||
-            clock.now() - lastLogged.at < ROLLOUT_LOG_INTERVAL_MS
+            orderFence(keeper.current(), clock.now()) === undefined
+            || clock.now() - lastLogged.at < ROLLOUT_LOG_INTERVAL_MS
         ) {
             return;
         }
--- a/packages/router/src/quarantine/createQuarantine.ts
+++ b/packages/router/src/quarantine/createQuarantine.ts
@@ -73,14 +73,14 @@
     };
 
     /** Checks a death once, although it shows on all connections to the endpoint. */
-    const hasDiedOnce = (death: string, address: string): Promise<boolean> => {
+    const sharedDeathCheck = (death: string, address: string): Promise<boolean> => {
         const known = deathChecks.get(death) ?? hasDied(address).finally(() => deathChecks.delete(death));
         deathChecks.set(death, known);
         return known;
     };
     const checkDeath = async (request: RequestFingerprint, endpoint: EndpointEntry): Promise<void> => {
         const death = `${endpoint.name}/${endpoint.bornAt}`;
-        if (!await hasDiedOnce(death, endpoint.address)) {
+        if (!await sharedDeathCheck(death, endpoint.address)) {
             return;
         }
         recordDeath(request, death);
