--- a/packages/router/src/__tests__/support/listedVm.ts
+++ b/packages/router/src/__tests__/support/listedVm.ts
@@ -2,11 +2,13 @@
 
 import type { ListedVm } from "../../peers/ListedVm.js";
 
-/** Cores of the first two VMs of each failure domain, and of the others. */
+/** Capacities of the first two VMs of each failure domain, and of the others. */
 const LARGE = 1.35;
 const SMALL = 0.3;
 
-/** A VM of a fleet, named so that names sort by failure domain and number; the first two of each domain can do most. */
+/**
+ * Makes a listed VM. Names sort by failure domain and number; the first two of each domain have the highest capacity.
+ */
 export function listedVm(domain: number, number: number): ListedVm {
     return {
         vm: `vm-${domain}-${String(number).padStart(3, "0")}` as VmId,
--- a/packages/router/src/__tests__/support/relayFleet.ts
+++ b/packages/router/src/__tests__/support/relayFleet.ts
@@ -3,57 +3,57 @@
 import { createAllowances } from "../../allowance/createAllowances.js";
 import type { Organisation } from "../../configuration/Organisation.js";
 import type { Beacon } from "../../peers/Beacon.js";
-import { composePassed } from "../../peers/composePassed.js";
+import { collectRelayedSums } from "../../peers/collectRelayedSums.js";
 import { createBeaconExchange } from "../../peers/createBeaconExchange.js";
 import { createMembership } from "../../peers/createMembership.js";
 import { createOthersLoad } from "../../peers/createOthersLoad.js";
 import { createPassing } from "../../peers/createPassing.js";
 import type { Heard } from "../../peers/Heard.js";
 import type { ListedVm } from "../../peers/ListedVm.js";
-import type { News } from "../../peers/News.js";
+import type { LocalState } from "../../peers/LocalState.js";
 import { createVirtualTime } from "./createVirtualTime.js";
 import { listedVm } from "./listedVm.js";
 
 type Exchange = ReturnType<typeof createBeaconExchange>;
 
-/** One VM of the fleet, as far as it tells others and hears them. */
+/** One simulated VM, with the parts that send beacons to peers and apply theirs. */
 type FleetVm = {
     readonly listed: ListedVm;
     readonly membership: ReturnType<typeof createMembership>;
     readonly allowances: ReturnType<typeof createAllowances>;
     readonly othersLoad: ReturnType<typeof createOthersLoad>;
     readonly exchange: Exchange;
-    /** What this VM tells; to be changed by tests. */
-    readonly news: { current: () => Partial<News>; cached: Beacon["cached"]; };
-    /** Parts of prompts that it heard of, by holder and key. */
-    readonly heardParts: Set<string>;
+    /** State that this VM sends; tests change it. */
+    readonly news: { current: () => Partial<LocalState>; cached: Beacon["cached"]; };
+    /** Prompt parts that it has received, as `holder/key`. */
+    readonly receivedParts: Set<string>;
 };
 
 type FleetParts = {
     readonly domains: number;
     readonly vmsPerDomain: number;
     readonly random: () => number;
-    /** Share of datagrams that are lost. */
+    /** Fraction of the datagrams that are lost. */
     readonly loss?: number;
-    /** Whether a datagram gets through now. */
+    /** Whether a datagram is delivered if it is sent now. */
     readonly isOpen?: (from: ListedVm, to: ListedVm) => boolean;
     readonly organisations?: readonly Organisation[];
     readonly onStart?: (vm: FleetVm) => void;
     readonly onHeard?: (vm: VmId, heard: Heard) => void;
 };
 
-/** A fleet in virtual time. */
+/** Simulated VMs in virtual time. */
 type RelayFleet = {
     readonly clock: Clock;
     readonly later: ReturnType<typeof createVirtualTime>["later"];
     readonly runUntil: (end: Millis) => void;
-    /** The VMs that run. */
+    /** The running VMs. */
     readonly vms: () => readonly FleetVm[];
     readonly vm: (vm: string) => FleetVm;
     readonly kill: (vm: VmId) => void;
-    /** Starts a VM, which knows what the list of VMs holds. */
+    /** Starts a VM, which knows the VMs of the VM list. */
     readonly start: (listed: ListedVm) => void;
-    /** Datagrams and their bytes between failure domains, and all datagrams, since the last call. */
+    /** Since the last call: number of datagrams, bytes between failure domains, and bytes of the largest datagram. */
     readonly takeTraffic: () => {
         readonly datagrams: number;
         readonly acrossBytes: number;
@@ -64,7 +64,9 @@
 const LATENCY_MS: Millis = 2;
 const START_SPREAD_MS: Millis = 300;
 
-/** Runs what VMs tell each other, in virtual time, with the router's own parts; all start within a moment. */
+/**
+ * Simulates VMs that send beacons to each other, in virtual time, with the router's own parts; all start within 0.3 s.
+ */
 export function relayFleet(parts: FleetParts): RelayFleet {
     const { clock, later, runUntil } = createVirtualTime();
     const running = new Map<VmId, FleetVm>();
@@ -83,7 +85,7 @@
         if (parts.random() < (parts.loss ?? 0) || parts.isOpen?.(from, to.listed) === false) {
             return;
         }
-        // The process that runs when it arrives takes it.
+        // Received by the process that runs when the datagram arrives.
         later(LATENCY_MS + parts.random(), () => running.get(to.listed.vm)?.exchange.receive(datagram, from.address));
     };
     const start = (listed: ListedVm): void => {
@@ -102,26 +104,27 @@
             newsEveryMs: membership.newsEveryMs,
         });
         const news: FleetVm["news"] = { current: () => ({}), cached: [] };
-        const heardParts = new Set<string>();
+        const receivedParts = new Set<string>();
         list.set(vm, listed);
         byAddress.set(address, vm);
         membership.list([...list.values()]);
         const exchange = createBeaconExchange({
             clock,
-            later: (delayMs, run) => later(delayMs, () => running.get(vm)?.exchange === exchange ? run() : undefined),
+            schedule: (delayMs, run) =>
+                later(delayMs, () => running.get(vm)?.exchange === exchange ? run() : undefined),
             self: { vm, incarnation, failureDomain, capacity },
             targets: membership.targets,
             usualTargets: membership.usualTargets,
             intervalMs: membership.newsEveryMs,
-            told: membership.told,
-            news: () => ({
+            memberFields: membership.memberFields,
+            localState: () => ({
                 revision: -1,
                 confirmedMs: undefined,
                 weights: [],
                 spent: allowances.spent(),
                 load: [],
                 demand: 0,
-                held: [],
+                engineVersions: [],
                 lease: undefined,
                 deaths: [],
                 stopped: [],
@@ -130,35 +133,37 @@
                 ...news.current(),
             }),
             ordered: scope => scope === "domain" || scope === "fleet" ? passing.ordered(scope) : [],
-            takeCached: () => {
+            drainCached: () => {
                 const taken = news.cached;
                 news.cached = [];
                 return taken;
             },
-            takePassed: passing.takeCached,
-            passed: scope => composePassed({ allowances, membership, othersLoad }, scope),
-            loadChanges: scope => scope === "domain" || scope === "fleet" ? othersLoad.changes(scope) : () => [],
+            drainRelayed: passing.drainCached,
+            relayedSums: scope => collectRelayedSums({ allowances, membership, othersLoad }, scope),
+            relayedLoadChanges: scope =>
+                scope === "domain" || scope === "fleet" ? othersLoad.relayedLoadChanges(scope) : () => [],
             send: (datagram, to) => deliver(listed, datagram, to),
             onBeacon: (beacon, from) => {
-                const heard = membership.hear(beacon, from);
-                if (heard === undefined) {
+                const accepted = membership.applyBeacon(beacon, from);
+                if (accepted === undefined) {
                     return;
                 }
-                const isRestarted = heard.before !== undefined && heard.before.incarnation !== beacon.incarnation;
+                const isRestarted = accepted.previous !== undefined &&
+                    accepted.previous.incarnation !== beacon.incarnation;
                 const role = membership.roleOf(beacon.vm);
                 allowances.hear(beacon, role, isRestarted);
-                othersLoad.hear(beacon);
-                passing.hear(beacon, role);
+                othersLoad.applyBeacon(beacon);
+                passing.applyBeacon(beacon, role);
                 beacon.cached.forEach(([holder, rows]) =>
-                    rows.forEach(({ key }) => heardParts.add(`${holder}/${key}`))
+                    rows.forEach(({ key }) => receivedParts.add(`${holder}/${key}`))
                 );
-                parts.onHeard?.(vm, heard.heard);
+                parts.onHeard?.(vm, accepted.received);
             },
             onUnreadable: () => {
-                throw new Error("a datagram cannot be read");
+                throw new Error("a datagram cannot be decoded");
             },
         });
-        const started = { listed, membership, allowances, othersLoad, exchange, news, heardParts };
+        const started = { listed, membership, allowances, othersLoad, exchange, news, receivedParts };
         running.set(vm, started);
         parts.onStart?.(started);
     };
@@ -176,7 +181,7 @@
         vm: name => {
             const found = running.get(name as VmId);
             if (found === undefined) {
-                throw new Error(`${name} does not run`);
+                throw new Error(`${name} is not running`);
             }
             return found;
         },
--- a/packages/router/src/__tests__/unit/beacon.test.ts
+++ b/packages/router/src/__tests__/unit/beacon.test.ts
@@ -24,8 +24,8 @@
     }],
     domains: [{ failureDomain: "b" as FailureDomain, vms: 40, silent: 1, ageMs: 20 }],
     passedSpent: [],
-    passedLoad: [],
-    passedDemand: 90,
+    relayedLoad: [],
+    relayedDemand: 90,
     revision: 3,
     confirmedMs: 12,
     weights: [],
@@ -33,7 +33,7 @@
     load: [["e1" as EndpointName, { running: 2, waitingTokens: 300, memoryTokens: 900 }]],
     demand: 40,
     ordered: [],
-    held: [],
+    engineVersions: [],
     cached: [["e1", [{ key: "manual", tokens: 4_000 }, { key: "own", tokens: 70 }]], ["10.0.0.9:80", []]],
     lease: undefined,
     deaths: [],
@@ -44,34 +44,34 @@
     isLeaving: false,
 };
 
-/** Place of the sizes of cached parts; fields after it came later still. */
+/** Position of the sizes of cached parts; still later versions added the fields after it. */
 const CACHED_TOKENS = 22;
 
-const datagramsOf = (told: Beacon): readonly Buffer[] => createBeaconEncoder(told)(told);
+const datagramsOf = (sent: Beacon): readonly Buffer[] => createBeaconEncoder(sent)(sent);
 const rowOf = (): unknown[] => JSON.parse(datagramsOf(beacon)[0]?.toString("utf8") ?? "") as unknown[];
 const decoded = (row: readonly unknown[]): Beacon | undefined => decodeBeacon(Buffer.from(JSON.stringify(row)));
 
-test("beacon: what is told arrives", t => {
+test("beacon: an encoded beacon is decoded unchanged", t => {
     t.deepEqual(datagramsOf(beacon).map(decodeBeacon), [beacon]);
 });
 
-test("beacon: one of an earlier version, without the sizes of cached parts, is taken with sizes of 0", t => {
+test("beacon: one of an earlier version, without the sizes of cached parts, is decoded with sizes of 0", t => {
     const { cached } = decoded(rowOf().slice(0, CACHED_TOKENS)) ?? beacon;
     t.deepEqual(cached[0]?.[1], [{ key: "manual", tokens: 0 }, { key: "own", tokens: 0 }]);
 });
 
-const faulty: readonly { readonly name: string; readonly sizes: unknown; }[] = [
-    { name: "no list", sizes: 5 },
-    { name: "a text for a size", sizes: [["many", 70], []] },
-    { name: "no list of a holder", sizes: [4_000] },
+const invalidSizes: readonly { readonly name: string; readonly sizes: unknown; }[] = [
+    { name: "a number in place of the list", sizes: 5 },
+    { name: "a text in place of a size", sizes: [["many", 70], []] },
+    { name: "a number in place of a holder's list", sizes: [4_000] },
 ];
-faulty.forEach(({ name, sizes }) => {
-    test(`beacon: faulty sizes of cached parts are no beacon: ${name}`, t => {
+invalidSizes.forEach(({ name, sizes }) => {
+    test(`beacon: one with invalid sizes of cached parts is rejected: ${name}`, t => {
         t.is(decoded([...rowOf().slice(0, CACHED_TOKENS), sizes]), undefined);
     });
 });
 
-test("beacon: one of an earlier version, without what is asked of its sender, is taken with a demand of 0", t => {
+test("beacon: one of an earlier version, without the tokens requested per second, is decoded with 0 of them", t => {
     const row = rowOf();
     const SPENT = 11;
     t.deepEqual(decoded([...row.slice(0, SPENT), [["org", 70]], ...row.slice(SPENT + 1)])?.spent as unknown, [[
@@ -81,15 +81,15 @@
     ]]);
 });
 
-// A datagram larger than what links carry whole is lost with any of its pieces, so that among many VMs hardly one arrives.
-test("beacon: one with many rows goes out as datagrams of 1,200 bytes at most, and all rows arrive once", t => {
+// A datagram that links fragment is lost with any of its fragments, so that among many VMs hardly one arrives.
+test("beacon: one with many rows is encoded as datagrams of 1,200 bytes at most, which contain each row once", t => {
     const names = Array.from({ length: 120 }, (_, i) => `engine-${i}`);
     const share = { running: 12, waitingTokens: 34_567, memoryTokens: 234_567 };
     const many: Beacon = {
         ...beacon,
         echo: { incarnation: "run-2-of-some-length" as Incarnation, sentAt: 123_456.789, heldMs: 12.345 },
-        held: names.map(name => [name as EndpointName, 3] as const),
-        passedLoad: names.map(name => [name as EndpointName, share] as const),
+        engineVersions: names.map(name => [name as EndpointName, 3] as const),
+        relayedLoad: names.map(name => [name as EndpointName, share] as const),
         cached: names.map(name => [name, [{ key: `part-of-${name}`, tokens: 5_382 }]] as const),
     };
     const datagrams = datagramsOf(many);
@@ -97,23 +97,23 @@
         datagrams.every(({ length }) => length <= 1_200),
         `${Math.max(...datagrams.map(({ length }) => length))} bytes`,
     );
-    const told = datagrams.map(decodeBeacon);
-    t.deepEqual(told.flatMap(each => each?.held ?? []), many.held);
-    t.deepEqual(told.flatMap(each => each?.passedLoad ?? []), many.passedLoad);
-    t.deepEqual(told.flatMap(each => each?.cached ?? []), many.cached);
-    t.deepEqual(told.map(each => each?.sequence), datagrams.map(() => 7));
-    t.deepEqual(told.flatMap(each => each?.load ?? []), many.load);
+    const received = datagrams.map(decodeBeacon);
+    t.deepEqual(received.flatMap(each => each?.engineVersions ?? []), many.engineVersions);
+    t.deepEqual(received.flatMap(each => each?.relayedLoad ?? []), many.relayedLoad);
+    t.deepEqual(received.flatMap(each => each?.cached ?? []), many.cached);
+    t.deepEqual(received.map(each => each?.sequence), datagrams.map(() => 7));
+    t.deepEqual(received.flatMap(each => each?.load ?? []), many.load);
 });
 
-const faultyRows: readonly { readonly name: string; readonly field: number; readonly rows: unknown; }[] = [
+const invalidRows: readonly { readonly name: string; readonly field: number; readonly rows: unknown; }[] = [
     { name: "a VM without an address", field: 27, rows: [["vm-2", "", "b", 1, true, 3]] },
     { name: "a count that is a text", field: 28, rows: [["b", "many", 0, 1]] },
     { name: "spending without an organisation", field: 29, rows: [[5, 5, 5]] },
     { name: "a load of three numbers", field: 30, rows: [["e1", 1, 2]] },
-    { name: "a scope that is none", field: 26, rows: "all" },
+    { name: "an unknown scope", field: 26, rows: "all" },
 ];
-faultyRows.forEach(({ name, field, rows }) => {
-    test(`beacon: one with ${name} is none`, t => {
+invalidRows.forEach(({ name, field, rows }) => {
+    test(`beacon: one with ${name} is rejected`, t => {
         const row = rowOf();
         t.is(decoded([...row.slice(0, field), rows, ...row.slice(field + 1)]), undefined);
     });
--- a/packages/router/src/__tests__/unit/beaconPacer.test.ts
+++ b/packages/router/src/__tests__/unit/beaconPacer.test.ts
@@ -1,106 +1,107 @@
 import test from "ava";
 
 import { createBeaconPacer } from "../../peers/createBeaconPacer.js";
-import { createNewsFlash } from "../../peers/createNewsFlash.js";
+import { createUrgentSender } from "../../peers/createUrgentSender.js";
 import { createVirtualTime } from "../support/createVirtualTime.js";
 
-// Beacons to dozens of VMs go out at once and fill small links; streams pause and orders end as unreached.
+// If beacons to dozens of VMs go out at once, they fill small links: streams are interrupted, and orders end as
+// unreached.
 
-type Told = { readonly at: number; readonly target: number; readonly bytes: number; };
+type Sent = { readonly at: number; readonly target: number; readonly bytes: number; };
 
-/** Bytes of what a relay tells a VM in a round, and of what is urgent. */
+/** Bytes that a relay sends to a VM in a round, and in an urgent send. */
 const BEACON_BYTES = 6_000;
 const URGENT_BYTES = 1_200;
-/** Bytes of a tenth of a second on a link of 70 Mbit/s, the least that a relay of sixty VMs needs. */
+/** Bytes that a link of 70 Mbit/s, the minimum for a relay of sixty VMs, carries in a tenth of a second. */
 const LINK_BYTES = 875_000;
-/** A quarter of the link at most is for what VMs tell each other. */
-const MOST = LINK_BYTES / 4;
+/** Beacons may take a quarter of the link at most. */
+const MAX_BYTES = LINK_BYTES / 4;
 
-/** Runs rounds and flashes in virtual time; gives when which target was told. */
-const play = (targets: number, newsAt: readonly number[], forMs: number): readonly Told[] => {
-    const { clock, later, runUntil } = createVirtualTime();
-    const told: Told[] = [];
+/** Runs rounds and urgent sends in virtual time; returns what was sent to which target, and when. */
+const play = (targets: number, updatesAt: readonly number[], forMs: number): readonly Sent[] => {
+    const { clock, later: schedule, runUntil } = createVirtualTime();
+    const sent: Sent[] = [];
     const all = Array.from({ length: targets }, (_, i) => i);
-    const tell = (bytes: number) => (batch: readonly number[]): void =>
-        batch.forEach(target => told.push({ at: clock.now(), target, bytes }));
+    const send = (bytes: number) => (batch: readonly number[]): void =>
+        batch.forEach(target => sent.push({ at: clock.now(), target, bytes }));
     createBeaconPacer<number>({
         clock,
-        later,
+        schedule,
         targets: () => all,
         onRound: () => undefined,
-        tell: tell(BEACON_BYTES),
+        send: send(BEACON_BYTES),
         intervalMs: () => Math.min(500, Math.max(200, 25 * targets)),
     });
-    const flash = createNewsFlash({
+    const urgentSender = createUrgentSender({
         clock,
-        later,
-        everyMs: () => targets > 8 ? 200 : undefined,
-        tell: () => {
-            tell(URGENT_BYTES)(all);
+        schedule,
+        maxGapMs: () => targets > 8 ? 200 : undefined,
+        send: () => {
+            send(URGENT_BYTES)(all);
             return targets;
         },
     });
-    newsAt.forEach(at => later(at, flash.tellSoon));
+    updatesAt.forEach(at => schedule(at, urgentSender.sendSoon));
     runUntil(forMs);
-    return told;
+    return sent;
 };
 
-/** Most bytes that go out within a span of so many milliseconds. */
-const mostWithin = (told: readonly Told[], ms: number): number =>
-    told.reduce((most, { at }) => {
-        const within = told.filter(each => each.at >= at && each.at < at + ms);
+/** Returns the maximum number of bytes that go out within any span of `ms`. */
+const maxBytesWithin = (sent: readonly Sent[], ms: number): number =>
+    sent.reduce((most, { at }) => {
+        const within = sent.filter(each => each.at >= at && each.at < at + ms);
         return Math.max(most, within.reduce((sum, { bytes }) => sum + bytes, 0));
     }, 0);
 
-/** Longest time that a target is not told, up to the end of the play. */
-const longestGap = (told: readonly Told[], targets: number, forMs: number): number =>
+/** Returns the longest time in which a target gets no beacon, up to the end of the run. */
+const maxGapMs = (sent: readonly Sent[], targets: number, forMs: number): number =>
     Math.max(...Array.from({ length: targets }, (_, target) => {
-        const times = [0, ...told.filter(each => each.target === target).map(({ at }) => at), forMs];
+        const times = [0, ...sent.filter(each => each.target === target).map(({ at }) => at), forMs];
         return Math.max(...times.slice(1).map((at, i) => at - (times[i] ?? 0)));
     }));
 
 const orders = Array.from({ length: 16 }, () => 2_010);
 const ends = Array.from({ length: 16 }, (_, i) => 2_600 + 90 * i);
 
-type Case = { readonly name: string; readonly newsAt: readonly number[]; };
+type Case = { readonly name: string; readonly updatesAt: readonly number[]; };
 
 const cases: readonly Case[] = [
-    { name: "nothing special", newsAt: [] },
-    { name: "one piece of news", newsAt: [2_010] },
-    { name: "a wave of orders, and their ends one by one", newsAt: [...orders, ...ends] },
-    { name: "news all the time", newsAt: Array.from({ length: 900 }, (_, i) => 10 * i) },
+    { name: "no update", updatesAt: [] },
+    { name: "one update", updatesAt: [2_010] },
+    { name: "a wave of orders, and their ends one by one", updatesAt: [...orders, ...ends] },
+    { name: "continuous updates", updatesAt: Array.from({ length: 900 }, (_, i) => 10 * i) },
 ];
 
 const TARGETS = 60;
 const FOR_MS = 9_000;
 
-cases.forEach(({ name, newsAt }) => {
-    test(`beacons of sixty VMs leave room on a relay's link: ${name}`, t => {
-        const told = play(TARGETS, newsAt, FOR_MS);
-        t.true(mostWithin(told, 100) <= MOST, `${mostWithin(told, 100)} bytes in a tenth of a second`);
-        t.true(longestGap(told, TARGETS, FOR_MS) <= 1_000, "one beacon may be lost before a VM is out of hearing");
+cases.forEach(({ name, updatesAt }) => {
+    test(`beacons of sixty VMs take a quarter of a relay's link at most: ${name}`, t => {
+        const sent = play(TARGETS, updatesAt, FOR_MS);
+        t.true(maxBytesWithin(sent, 100) <= MAX_BYTES, `${maxBytesWithin(sent, 100)} bytes in a tenth of a second`);
+        t.true(maxGapMs(sent, TARGETS, FOR_MS) <= 1_000, "one beacon may be lost before a VM counts as silent");
     });
-    test(`beacons of sixty VMs tell news within 0.25 s: ${name}`, t => {
-        const told = play(TARGETS, newsAt, FOR_MS);
-        newsAt.filter(at => at < FOR_MS - 1_000).forEach(at => {
-            const heard = new Set(told.filter(each => each.at >= at && each.at <= at + 250).map(each => each.target));
-            t.is(heard.size, TARGETS);
+    test(`beacons of sixty VMs reach all targets within 0.25 s of an update: ${name}`, t => {
+        const sent = play(TARGETS, updatesAt, FOR_MS);
+        updatesAt.filter(at => at < FOR_MS - 1_000).forEach(at => {
+            const reached = new Set(sent.filter(each => each.at >= at && each.at <= at + 250).map(each => each.target));
+            t.is(reached.size, TARGETS);
         });
         t.pass();
     });
 });
 
-test("rounds of sixty VMs go out a few at a time", t => {
-    const told = play(TARGETS, [], FOR_MS).filter(({ at, bytes }) => at > 1_000 && bytes === BEACON_BYTES);
-    t.true(mostWithin(told, 50) <= 8 * BEACON_BYTES);
+test("rounds of sixty VMs go out in batches of eight", t => {
+    const sent = play(TARGETS, [], FOR_MS).filter(({ at, bytes }) => at > 1_000 && bytes === BEACON_BYTES);
+    t.true(maxBytesWithin(sent, 50) <= 8 * BEACON_BYTES);
 });
 
-test("the first piece of news goes out at once, and what comes up after it together; without news load is told often", t => {
-    const told = play(TARGETS, [550, 560, 570, 1_250], 2_000).filter(({ bytes }) => bytes === URGENT_BYTES);
-    t.deepEqual([...new Set(told.map(({ at }) => at))], [200, 440, 680, 920, 1_160, 1_400, 1_640, 1_880]);
+test("the first update goes out at once, later ones together; without updates, load is sent every 240 ms", t => {
+    const sent = play(TARGETS, [550, 560, 570, 1_250], 2_000).filter(({ bytes }) => bytes === URGENT_BYTES);
+    t.deepEqual([...new Set(sent.map(({ at }) => at))], [200, 440, 680, 920, 1_160, 1_400, 1_640, 1_880]);
 });
 
-test("beacons of few VMs go out together, at once where there is news", t => {
-    const told = play(5, [1_050], 1_100);
-    t.deepEqual([...new Set(told.map(({ at }) => at))], [0, 200, 400, 600, 800, 1_000, 1_050]);
+test("beacons of few VMs go out together, and at once after an update", t => {
+    const sent = play(5, [1_050], 1_100);
+    t.deepEqual([...new Set(sent.map(({ at }) => at))], [0, 200, 400, 600, 800, 1_000, 1_050]);
 });
--- a/packages/router/src/__tests__/unit/peerListener.test.ts
+++ b/packages/router/src/__tests__/unit/peerListener.test.ts
@@ -13,7 +13,7 @@
 
 const topics = new Map<string, () => TopicAnswer | undefined>([["known", () => answered], ["stale", () => undefined]]);
 
-// A bad question ends the listener, or an answer that is none passes for records.
+// An invalid request must not stop the listener, nor may a missing answer be taken for records.
 const cases: readonly { readonly path: string; readonly status: number; }[] = [
     { path: "/topics/known?from=7", status: 200 },
     { path: "/topics/known", status: 200 },
@@ -45,14 +45,14 @@
 
 const listed = { address: "10.0.0.1:7600", failureDomain: "a", capacity: 0.3 };
 const values: readonly { readonly name: string; readonly value: string; readonly isRead: boolean; }[] = [
-    { name: "as it is written", value: JSON.stringify(listed), isRead: true },
-    { name: "an address alone, as once", value: "10.0.0.1:7600", isRead: false },
+    { name: "the current format", value: JSON.stringify(listed), isRead: true },
+    { name: "an address alone, the format of an earlier version", value: "10.0.0.1:7600", isRead: false },
     { name: "no port", value: JSON.stringify({ ...listed, address: "10.0.0.1" }), isRead: false },
     { name: "no capacity", value: JSON.stringify({ ...listed, capacity: undefined }), isRead: false },
     { name: "nothing", value: "", isRead: false },
 ];
 values.forEach(({ name, value, isRead }) => {
-    test(`list of VMs: an entry is ${isRead ? "read" : "skipped"}: ${name}`, t => {
+    test(`VM list: an entry is ${isRead ? "read" : "skipped"}: ${name}`, t => {
         const vm = "vm-1" as VmId;
         t.deepEqual(decodeListedVm(vm, Buffer.from(value)) as unknown, isRead ? { vm, ...listed } : undefined);
     });
--- /dev/null
+++ b/packages/router/src/__tests__/unit/relayBuffer.test.ts
@@ -0,0 +1,61 @@
+import type { EndpointName, VmId } from "@azureshunt/core";
+import test from "ava";
+
+import { createPassing } from "../../peers/createPassing.js";
+import type { VmRole } from "../../peers/VmRole.js";
+
+const ROUND_MS = 500;
+
+const relayBufferOf = (vm: string, relays: readonly string[], now: () => number) =>
+    createPassing({
+        clock: { now, epoch: now },
+        vm: vm as VmId,
+        relays: () => relays as readonly VmId[],
+        newsEveryMs: () => ROUND_MS,
+    });
+const update = (holder: string) => ({
+    cached: [[holder, [{ key: "manual", tokens: 40 }]]] as const,
+    ordered: [[holder as EndpointName, 3, 10]] as const,
+});
+
+// Rows that are relayed back to where they came from would circulate forever. Rows that are not relayed cause a second
+// prefill, or requests to an engine that refuses them.
+const cases: readonly { readonly role: VmRole; readonly domain: number; readonly fleet: number; }[] = [
+    { role: "leaf", domain: 1, fleet: 1 },
+    { role: "foreign", domain: 0, fleet: 1 },
+    { role: "relay", domain: 0, fleet: 0 },
+    { role: "stranger", domain: 0, fleet: 0 },
+];
+cases.forEach(({ role, domain, fleet }) => {
+    test(`relay buffer: rows of a VM with the role ${role}: ${domain} to other domains, ${fleet} to this one`, t => {
+        const buffer = relayBufferOf("r1", ["r1"], () => 0);
+        buffer.applyBeacon(update("engine"), role);
+        t.is(buffer.drainCached("domain").length, domain);
+        t.is(buffer.drainCached("fleet").length, fleet);
+        t.is(buffer.ordered("domain").length, domain);
+        t.is(buffer.ordered("fleet").length, fleet);
+    });
+});
+
+test("relay buffer: parts are relayed once, orders with their age as long as they are received", t => {
+    const time = { now: 0 };
+    const buffer = relayBufferOf("r1", ["r1"], () => time.now);
+    buffer.applyBeacon(update("engine"), "leaf");
+    t.is(buffer.drainCached("fleet").length, 1);
+    t.is(buffer.drainCached("fleet").length, 0);
+    time.now = 700;
+    t.deepEqual(buffer.ordered("fleet") as unknown, [["engine", 3, 710]]);
+    time.now = 2 * ROUND_MS + 1;
+    t.deepEqual(buffer.ordered("fleet"), []);
+});
+
+test("relay buffer: two relays divide the parts by holder", t => {
+    const holders = Array.from({ length: 40 }, (_, i) => `engine-${i}`);
+    const taken = ["r1", "r2"].map(vm => {
+        const buffer = relayBufferOf(vm, ["r1", "r2"], () => 0);
+        holders.forEach(holder => buffer.applyBeacon(update(holder), "leaf"));
+        return buffer.drainCached("domain").map(([holder]) => holder);
+    });
+    t.deepEqual(taken.flat().toSorted(), holders.toSorted());
+    t.true(taken.every(({ length }) => length > 10));
+});
--- a/packages/router/src/__tests__/unit/ringOrder.test.ts
+++ b/packages/router/src/__tests__/unit/ringOrder.test.ts
@@ -7,44 +7,44 @@
 import { createVirtualTime } from "../support/createVirtualTime.js";
 
 const INTERVAL_MS = 1_000;
-/** A VM that finds several beacons at once wakes once for them. */
+/** A VM wakes once for beacons that arrive within this time. */
 const AT_ONCE_MS = 5;
 
-/** The moments at which one VM of a fleet hears others, each VM having started at a moment of its own. */
-const heardBy = (vms: readonly VmId[], listener: VmId, forMs: number): readonly number[] => {
-    const { clock, later, runUntil } = createVirtualTime();
-    const heard: number[] = [];
+/** Returns when one VM receives beacons of the others, which all start at different times. */
+const receivedBy = (vms: readonly VmId[], receiver: VmId, forMs: number): readonly number[] => {
+    const { clock, later: schedule, runUntil } = createVirtualTime();
+    const received: number[] = [];
     const targetsOf = (self: VmId): readonly BeaconTarget[] =>
         vms.filter(vm => vm !== self).map(vm => ({ vm, address: `${vm}:1`, scope: "vm" }));
     const start = (self: VmId) => (): void =>
         void createBeaconPacer<BeaconTarget>({
             clock,
-            later,
+            schedule,
             targets: () => ringOrder(self, targetsOf(self)),
             onRound: () => undefined,
-            tell: batch => batch.filter(({ vm }) => vm === listener).forEach(() => heard.push(clock.now())),
+            send: batch => batch.filter(({ vm }) => vm === receiver).forEach(() => received.push(clock.now())),
             intervalMs: () => INTERVAL_MS,
         });
-    vms.forEach((vm, i) => later(i * 7, start(vm)));
+    vms.forEach((vm, i) => schedule(i * 7, start(vm)));
     runUntil(forMs);
-    return heard;
+    return received;
 };
 
-// Each VM is woken by each other VM's beacon, and an idle fleet's processor time grows with the square of its VMs.
+// If each beacon woke a VM on its own, the processor time of idle VMs would grow with the square of their number.
 [
     { name: "sixty-six VMs", count: 66, wakes: 9, most: 8 },
     { name: "a hundred and thirty VMs", count: 130, wakes: 17, most: 8 },
 ].forEach(({ name, count, wakes, most }) =>
-    test(`beacons among ${name} come several at once, and never all`, t => {
+    test(`beacons among ${name} arrive several at a time, and never all at once`, t => {
         const vms = Array.from({ length: count }, (_, i) => VmId.parse(`vm-${String(i).padStart(3, "0")}`));
-        const heard = heardBy(vms, vms[17]!, 10 * INTERVAL_MS).filter(at =>
+        const received = receivedBy(vms, vms[17]!, 10 * INTERVAL_MS).filter(at =>
             at >= 5 * INTERVAL_MS && at < 6 * INTERVAL_MS - AT_ONCE_MS
         );
-        const moments = [...new Set(heard.map(at => Math.round(at / AT_ONCE_MS)))];
+        const moments = [...new Set(received.map(at => Math.round(at / AT_ONCE_MS)))];
         t.true(moments.length <= wakes, `${moments.length} moments`);
-        t.is(heard.length, count - 1);
+        t.is(received.length, count - 1);
         const largest = Math.max(
-            ...moments.map(moment => heard.filter(at => Math.round(at / AT_ONCE_MS) === moment).length),
+            ...moments.map(moment => received.filter(at => Math.round(at / AT_ONCE_MS) === moment).length),
         );
         t.true(largest <= most, `${largest} at one moment`);
     })
--- a/packages/router/src/peers/BEACON_FORMAT.ts
+++ b/packages/router/src/peers/BEACON_FORMAT.ts
@@ -1,4 +1,4 @@
-/** Version of the datagrams' format; VMs skip formats that they do not know. */
+/** Version of the datagram format. VMs ignore datagrams of a format that they do not know. */
 const BEACON_FORMAT = 1;
 
 export { BEACON_FORMAT };
--- a/packages/router/src/peers/Beacon.ts
+++ b/packages/router/src/peers/Beacon.ts
@@ -17,63 +17,63 @@
 import type { KnownVm } from "./KnownVm.js";
 
 /**
- * What a VM tells others several times a second. One that does not fit into a datagram is told as several beacons, each
- * with some of its rows.
+ * State that a VM sends to its peers several times a second. State that does not fit into one datagram is sent as
+ * several beacons, each with some of the rows.
  */
 export type Beacon = {
     readonly vm: VmId;
     readonly incarnation: Incarnation;
     readonly failureDomain: FailureDomain;
-    /** How long ago its process started; ∞ where it does not say. */
+    /** Age of the sender's process; `Infinity` if the sender does not state it. */
     readonly upMs: Millis;
-    /** Grows with all that a process tells; the same in each datagram of what is told at once. */
+    /** Increases with each send of a process; all datagrams of one send have the same number. */
     readonly sequence: number;
-    /** When it was sent, on the sender's monotonic clock; the receiver sends it back. */
+    /** Sending time on the sender's monotonic clock; the receiver echoes it. */
     readonly sentAt: Millis;
     /**
-     * The receiver's own newest time stamp that the sender has got, and how long ago it came. So the receiver knows how
-     * old what it reads is at most, however long the datagram was held up.
+     * Newest timestamp of the receiver that the sender has received, and how long ago it arrived. It gives the receiver
+     * an upper bound for the age of this beacon, however long the datagram was delayed.
      */
     readonly echo: { readonly incarnation: Incarnation; readonly sentAt: Millis; readonly heldMs: Millis; } | undefined;
-    /** How much the sender can do beside its requests, compared with other VMs. */
+    /** What the sender can do besides its requests, relative to other VMs. */
     readonly capacity: number;
     readonly scope: BeaconScope;
-    /** VMs that the receiver may want to know. */
+    /** VMs that the receiver may need to know. */
     readonly vms: readonly KnownVm[];
-    /** VMs whose facts are passed on, and those that are not named, by failure domain. */
+    /** Number of VMs whose state is relayed, by failure domain, including VMs that are not listed in `vms`. */
     readonly domains: readonly DomainCount[];
-    /** As `spent`, of the VMs whose facts are passed on; a count that goes on while the sender's process runs. */
+    /** As `spent`, for the VMs whose state is relayed; a counter that grows as long as the sender's process runs. */
     readonly passedSpent: readonly (readonly [OrganisationId, Tokens, Tokens])[];
-    /** As `load`, of the same VMs; rows that are left out stay as they were told. */
-    readonly passedLoad: readonly (readonly [EndpointName, EndpointShare])[];
-    /** As `demand`, of the same VMs. */
-    readonly passedDemand: Tokens;
+    /** As `load`, for the VMs whose state is relayed; rows that are left out have not changed. */
+    readonly relayedLoad: readonly (readonly [EndpointName, EndpointShare])[];
+    /** As `demand`, for the VMs whose state is relayed. */
+    readonly relayedDemand: Tokens;
     readonly revision: number;
-    /** How long ago that revision was known to be the newest one; undefined where it is not known. */
+    /** Age of the confirmation that `revision` is the newest one; `undefined` if there was none. */
     readonly confirmedMs: Millis | undefined;
     readonly weights: readonly (readonly [ModelName, number])[];
-    /** By organisation: tokens that the sender has spent since its start, and that are asked of it in a second. */
+    /** By organisation: tokens that the sender has spent since its start, and tokens requested of it per second. */
     readonly spent: readonly (readonly [OrganisationId, Tokens, Tokens])[];
-    /** What the sender runs at endpoints; undefined where this beacon does not say. */
+    /** Load of the sender's requests by endpoint; `undefined` if this beacon does not state it. */
     readonly load: readonly (readonly [EndpointName, EndpointShare])[] | undefined;
-    /** Prompt tokens that the sender's callers send in a millisecond. */
+    /** Prompt tokens that the sender's callers send per millisecond. */
     readonly demand: Tokens;
-    /** Engines that carry out orders of the sender, or of VMs whose facts are passed on: name, version, how long ago it was given. */
+    /** Engines that execute orders of the sender, or of VMs whose state is relayed: name, version, age of the order. */
     readonly ordered: readonly (readonly [EndpointName, number, Millis])[];
-    /** Versions that engines are known to hold. */
-    readonly held: readonly (readonly [EndpointName, number])[];
-    /** Parts of prompts that engines have read, or the cache store has taken, since the sender's last round. */
+    /** Versions of the weights that engines are known to have loaded. */
+    readonly engineVersions: readonly (readonly [EndpointName, number])[];
+    /** Prompt parts that engines have prefilled, or the cache store has stored, since the sender's last round. */
     readonly cached: readonly (readonly [string, readonly ChainPart[]])[];
-    /** The newest record of the order lease, and since when it is known. */
+    /** Newest record of the order lease, and for how long the sender has known it. */
     readonly lease: { readonly offset: number; readonly holder: VmId; readonly ageMs: Millis; } | undefined;
-    /** Requests that ran on an endpoint when it died, and which run of which endpoint that was; told for some seconds. */
+    /** Requests that ran on an endpoint when it died, and the endpoint with its incarnation; sent for some seconds. */
     readonly deaths: readonly (readonly [RequestFingerprint, string])[];
-    /** Requests that are not run any more, as they crash endpoints, and for how much longer. */
+    /** Quarantined requests, which crash endpoints, and the remaining time of their quarantine. */
     readonly stopped: readonly (readonly [RequestFingerprint, Millis])[];
-    /** The registry's entries that the sender knows, named by a digest, and how old that can be at most. */
+    /** Digest of the registry entries that the sender knows, and an upper bound for their age. */
     readonly registry: { readonly digest: string; readonly ageMs: Millis; } | undefined;
     /** Whether the sender reads the store itself. */
     readonly hasStore: boolean;
-    /** Whether the sender is about to stop. */
+    /** True in the final beacon that a VM sends on shutdown. */
     readonly isLeaving: boolean;
 };
--- a/packages/router/src/peers/BeaconScope.ts
+++ b/packages/router/src/peers/BeaconScope.ts
@@ -1,5 +1,5 @@
 /**
- * Whose facts a beacon tells: the sender's own, those of its failure domain besides, or those of all VMs besides. A referral
- * tells the sender's own and names relays, as it answers a VM that took the sender for one.
+ * Whose state a beacon contains: the sender's own, also that of its failure domain, or also that of all VMs. A referral
+ * contains the sender's own state and names the relays; it answers a VM that took the sender for a relay.
  */
 export type BeaconScope = "vm" | "domain" | "fleet" | "referral";
--- a/packages/router/src/peers/BeaconTarget.ts
+++ b/packages/router/src/peers/BeaconTarget.ts
@@ -2,7 +2,7 @@
 
 import type { BeaconScope } from "./BeaconScope.js";
 
-/** Where a beacon goes, to whom where that is known, and whose facts it tells. */
+/** Address of a beacon, its receiver if that is known, and whose state the beacon contains. */
 export type BeaconTarget = {
     readonly address: string;
     readonly vm: VmId | undefined;
--- a/packages/router/src/peers/DomainCount.ts
+++ b/packages/router/src/peers/DomainCount.ts
@@ -1,11 +1,11 @@
 import type { FailureDomain, Millis } from "@azureshunt/core";
 
-/** How many VMs of a failure domain there are, as a relay tells. */
+/** Number of VMs of a failure domain, as a relay counts them. */
 export type DomainCount = {
     readonly failureDomain: FailureDomain;
     readonly vms: number;
-    /** Of these, VMs that are out of hearing. */
+    /** Number of these VMs that are silent. */
     readonly silent: number;
-    /** How long ago any of them was heard. */
+    /** Time since the relay last received anything of any of them. */
     readonly ageMs: Millis;
 };
--- a/packages/router/src/peers/EndpointShare.ts
+++ b/packages/router/src/peers/EndpointShare.ts
@@ -1,6 +1,6 @@
 import type { Tokens } from "@azureshunt/core";
 
-/** What one VM runs at one endpoint. */
+/** Load of one VM's requests at one endpoint. */
 export type EndpointShare = {
     readonly running: number;
     readonly waitingTokens: Tokens;
--- a/packages/router/src/peers/Heard.ts
+++ b/packages/router/src/peers/Heard.ts
@@ -2,17 +2,17 @@
 
 import type { Beacon } from "./Beacon.js";
 
-/** The last beacon of another VM. */
+/** The last beacon of a peer, and when it was received. */
 export type Heard = {
     readonly incarnation: Incarnation;
     readonly failureDomain: FailureDomain;
     readonly at: Millis;
     readonly beacon: Beacon;
     /**
-     * Not later than when the beacon was sent, on this VM's own clock; −∞ while the other VM has not sent back a time
-     * stamp of this process.
+     * Lower bound for the time at which the beacon was sent, on this VM's clock; `-Infinity` until the peer has echoed
+     * a timestamp of this process.
      */
     readonly sentAfter: Millis;
-    /** This VM's own time stamp from which that is reckoned; −∞ likewise. */
+    /** This VM's timestamp, echoed by the peer, from which `sentAfter` is computed; `-Infinity` until then. */
     readonly stampedAt: Millis;
 };
--- a/packages/router/src/peers/KnownVm.ts
+++ b/packages/router/src/peers/KnownVm.ts
@@ -1,15 +1,15 @@
 import type { FailureDomain, Millis, VmId } from "@azureshunt/core";
 
-/** A VM as one that hears it tells others of it. */
+/** A VM as its peers describe it to each other. */
 export type KnownVm = {
     readonly vm: VmId;
     /** `host:port` for beacons. */
     readonly address: string;
     readonly failureDomain: FailureDomain;
-    /** How much it can do beside its requests, compared with other VMs. */
+    /** What it can do besides its requests, relative to other VMs. */
     readonly capacity: number;
     /** Whether it reads the store itself. */
     readonly hasStore: boolean;
-    /** How long ago it was heard. */
+    /** Time since it was last seen. */
     readonly ageMs: Millis;
 };
--- a/packages/router/src/peers/News.ts
+++ b/packages/router/src/peers/LocalState.ts
@@ -1,7 +1,10 @@
 import type { Beacon } from "./Beacon.js";
 
-/** What a VM tells of its own besides who it is, as far as all who are told get the same. */
-export type News = Pick<
+/**
+ * What a beacon contains of its sender's own state, apart from its identity, as far as it is the same for all
+ * receivers.
+ */
+export type LocalState = Pick<
     Beacon,
     | "revision"
     | "confirmedMs"
@@ -9,7 +12,7 @@
     | "spent"
     | "load"
     | "demand"
-    | "held"
+    | "engineVersions"
     | "lease"
     | "deaths"
     | "stopped"
--- a/packages/router/src/peers/Members.ts
+++ b/packages/router/src/peers/Members.ts
@@ -3,43 +3,43 @@
 import type { DomainCount } from "./DomainCount.js";
 import type { Heard } from "./Heard.js";
 
-/** Another VM, as this one knows it. */
+/** A peer, as this VM knows it. */
 type Member = {
     readonly vm: VmId;
     /** `host:port` for beacons. */
     readonly address: string;
-    /** Undefined while only its address is known. */
+    /** `undefined` while only its address is known. */
     readonly failureDomain: FailureDomain | undefined;
     readonly capacity: number;
     readonly hasStore: boolean;
-    /** When it was last heard, by this VM or by a relay; −∞ before that. */
+    /** When it was last seen, by this VM or by a relay; `-Infinity` until then. */
     readonly seenAt: Millis;
-    /** Its last beacon to this VM; undefined until then. */
+    /** Its last beacon to this VM; `undefined` until the first. */
     readonly heard: Heard | undefined;
 };
 
-/** What a relay told of VMs that this one does not hear itself. */
-type Told = {
-    /** Not later than when it was told. */
+/** What a relay counts of the VMs from which this VM receives nothing directly. */
+type RelaySummary = {
+    /** Lower bound for the time at which it was sent. */
     readonly at: Millis;
     readonly domains: readonly DomainCount[];
     readonly demand: Tokens;
 };
 
-/** The other VMs. */
+/** This VM, and all that it knows of its peers. */
 export type Members = {
     readonly vm: VmId;
     readonly incarnation: Incarnation;
     readonly failureDomain: FailureDomain;
     readonly capacity: number;
     readonly startedAt: Millis;
-    /** Whether the list of VMs in the store has been read. */
+    /** Whether the VM list in the store has been read. */
     readonly isListed: boolean;
     readonly known: ReadonlyMap<VmId, Member>;
-    /** By failure domain: what its relays told of its other VMs. */
-    readonly behind: ReadonlyMap<FailureDomain, Told>;
-    /** What a relay of this VM's own failure domain told of all VMs; undefined before that. */
-    readonly fleet: Told | undefined;
-    /** Addresses to which beacons go though it is not known whose they are. */
+    /** By failure domain: what its relays count of its other VMs. */
+    readonly behind: ReadonlyMap<FailureDomain, RelaySummary>;
+    /** What a relay of this VM's own failure domain counts of all VMs; `undefined` until then. */
+    readonly fleet: RelaySummary | undefined;
+    /** Configured addresses that get beacons before it is known which VM each belongs to. */
     readonly seeds: readonly string[];
 };
--- a/packages/router/src/peers/MembersEvent.ts
+++ b/packages/router/src/peers/MembersEvent.ts
@@ -1,9 +1,9 @@
 import type { Beacon } from "./Beacon.js";
 import type { ListedVm } from "./ListedVm.js";
 
-/** What is learnt about other VMs. */
+/** An event that changes what this VM knows of its peers. */
 export type MembersEvent =
-    /** What VMs wrote of themselves into the store. */
+    /** The VM list in the store was read. */
     | { readonly kind: "listed"; readonly vms: readonly ListedVm[]; }
     | { readonly kind: "beacon"; readonly beacon: Beacon; readonly address: string; }
     | { readonly kind: "tick"; };
--- a/packages/router/src/peers/NewsSources.ts
+++ b/packages/router/src/peers/NewsSources.ts
@@ -12,7 +12,7 @@
 import type { createOthersLoad } from "./createOthersLoad.js";
 import type { createPassing } from "./createPassing.js";
 
-/** The parts of a router that tell the other VMs something, and learn from what these tell. */
+/** The parts of a router whose state is sent to peers, and which apply what peers send. */
 export type NewsSources = {
     readonly clock: Clock;
     readonly knowledge: ReturnType<typeof startKnowledge>;
--- a/packages/router/src/peers/VmRole.ts
+++ b/packages/router/src/peers/VmRole.ts
@@ -1,5 +1,6 @@
 /**
- * What another VM is to this one: a relay of the same failure domain; to a relay besides, another VM of its failure domain,
- * or a relay of another one; or a stranger, whose facts come by way of relays.
+ * Role of a peer as seen by this VM: a relay of the same failure domain (`relay`); if this VM is itself a relay,
+ * another VM of its failure domain (`leaf`) or a relay of another one (`foreign`); else a VM whose state comes through
+ * relays only (`stranger`).
  */
 export type VmRole = "relay" | "leaf" | "foreign" | "stranger";
--- a/packages/router/src/peers/announcementDue.ts
+++ b/packages/router/src/peers/announcementDue.ts
@@ -1,32 +1,32 @@
 import type { Millis } from "@azureshunt/core";
 
-/** What decides whether a VM has to do with the list of VMs in the store. */
+/** Inputs that decide whether a VM has to read or write the VM list in the store. */
 type AnnouncementView = {
     readonly upMs: Millis;
-    /** Whether all VMs start for the first time, so that the list holds nobody. */
+    /** Whether all VMs start for the first time, so that the list is empty. */
     readonly isFirstStart: boolean;
-    /** How long this VM has been a relay; 0 while it is none. */
+    /** Time for which this VM has been a relay; 0 if it is none. */
     readonly relayForMs: Millis;
-    /** Whether it hears no other VM. */
+    /** Whether no peer is alive. */
     readonly isAlone: boolean;
-    /** How long ago the list was read; ∞ before that. */
+    /** Time since the list was read; `Infinity` until then. */
     readonly listedMs: Millis;
-    /** How long ago this VM was written into the list, or found there; ∞ before that. */
+    /** Time since this VM was written into the list, or found in it; `Infinity` until then. */
     readonly writtenMs: Millis;
 };
 
-/** In a first start VMs find each other by their seeds within so long. */
+/** Time in which VMs find each other through their seeds on a first start. */
 const SEEDS_MS: Millis = 1_000;
-/** All VMs take themselves for relays until they have heard each other; after so long one is. */
+/** A VM that takes itself for a relay for this long is one; until they have received beacons, all VMs do. */
 const RELAY_MS: Millis = 1_500;
-/** A VM that is alone looks again, and so does one that was written: others may have been since it last looked. */
-const AGAIN_MS: Millis = 2_000;
+/** Time until a VM that is alone, or that was written, reads the list again: others may have been written meanwhile. */
+const RECHECK_MS: Millis = 2_000;
 
 /**
- * Says whether the list of VMs in the store has to be read or written now.
+ * Returns whether this VM has to read the VM list in the store (`list`) or to write itself into it (`put`) now.
  *
- * Load: hundreds of VMs start at once, and each reads the list and writes itself into it. A VM that hears relays needs no
- * list, and only those that others have to find are written.
+ * When hundreds of VMs start at once, the store would get a read and a write from each. So a VM that receives beacons
+ * of relays does not read the list, and only VMs that others have to find are written.
  */
 export function announcementDue(view: AnnouncementView): "list" | "put" | undefined {
     const { upMs, isFirstStart, relayForMs, isAlone, listedMs, writtenMs } = view;
@@ -37,6 +37,6 @@
     if (isRelay && writtenMs === Infinity) {
         return "put";
     }
-    const isStale = isAlone || (writtenMs >= AGAIN_MS && writtenMs < listedMs);
-    return isStale && listedMs >= AGAIN_MS ? "list" : undefined;
+    const isStale = isAlone || (writtenMs >= RECHECK_MS && writtenMs < listedMs);
+    return isStale && listedMs >= RECHECK_MS ? "list" : undefined;
 }
--- a/packages/router/src/peers/beaconInterval.ts
+++ b/packages/router/src/peers/beaconInterval.ts
@@ -2,7 +2,11 @@
 
 import { peerTiming } from "./peerTiming.js";
 
-/** How far apart beacons to one VM are, given how many other VMs are known. */
+/**
+ * Returns the time between two beacons to one VM.
+ *
+ * @param members number of known peers
+ */
 export function beaconInterval(members: number): Millis {
-    return Math.min(peerTiming.longestBeaconMs, Math.max(peerTiming.beaconMs, peerTiming.perMemberMs * members));
+    return Math.min(peerTiming.maxBeaconMs, Math.max(peerTiming.beaconMs, peerTiming.perMemberMs * members));
 }
--- a/packages/router/src/peers/createBeaconEncoder.ts
+++ b/packages/router/src/peers/createBeaconEncoder.ts
@@ -2,35 +2,35 @@
 import { BEACON_FORMAT } from "./BEACON_FORMAT.js";
 import { packRows } from "./packRows.js";
 
-/** What differs between the beacons of one batch. */
-type PerTarget = Pick<Beacon, "sequence" | "sentAt" | "echo" | "passedSpent" | "passedLoad" | "passedDemand">;
+/** Fields that differ between the beacons of one batch. */
+type PerTarget = Pick<Beacon, "sequence" | "sentAt" | "echo" | "passedSpent" | "relayedLoad" | "relayedDemand">;
 
 type Common = Omit<Beacon, keyof PerTarget>;
 
-/** Lists whose rows may be told in one datagram or another; the sizes of cached parts go along with their keys. */
-type List =
+/** Lists whose rows may be spread over several datagrams; the sizes of cached parts go with their keys. */
+type RowList =
     | "weights"
     | "spent"
     | "ordered"
-    | "held"
+    | "engineVersions"
     | "cached"
     | "deaths"
-    | "stopped"
+    | "quarantined"
     | "vms"
     | "domains"
-    | "passedSpent"
-    | "passedLoad";
-type Page = ReturnType<typeof packRows<List>>[number];
-type Row = Parameters<typeof packRows<List>>[0][number];
+    | "relayedSpent"
+    | "relayedLoad";
+type Page = ReturnType<typeof packRows<RowList>>[number];
+type Row = Parameters<typeof packRows<RowList>>[0][number];
 
-/** Bytes of a datagram that crosses all usual links whole. */
+/** Maximum size of a datagram, in bytes, that all usual links carry without fragmentation. */
 const DATAGRAM_BYTES = 1_200;
-/** Bytes for what each datagram holds besides rows. */
+/** Bytes reserved for what each datagram contains besides rows. */
 const HEAD_BYTES = 420;
-/** Parts of prompts in one row, so that a row is small beside a datagram. */
+/** Prompt parts per row, so that a row is small compared with a datagram. */
 const PARTS_PER_ROW = 8;
 
-const rowsOf = (list: List, values: readonly unknown[]): readonly Row[] =>
+const rowsOf = (list: RowList, values: readonly unknown[]): readonly Row[] =>
     values.map(value => ({ list, json: JSON.stringify(value) }));
 
 const chunksOf = <Value>(values: readonly Value[], size: number): readonly (readonly Value[])[] =>
@@ -39,7 +39,7 @@
         (_, i) => values.slice(i * size, (i + 1) * size),
     );
 
-/** Keys and sizes of parts are two lists on the wire, in the same order. */
+/** Makes the rows of cached parts. Keys and sizes of parts are two lists on the wire, in the same order. */
 const cachedRows = (cached: Beacon["cached"]): readonly Row[] =>
     cached.flatMap(([holder, parts]) =>
         chunksOf(parts, PARTS_PER_ROW).map(chunk => ({
@@ -48,7 +48,7 @@
             sizes: JSON.stringify(chunk.map(({ tokens }) => tokens)),
         }))
     );
-const loadRow = ([endpoint, share]: Beacon["passedLoad"][number]): readonly unknown[] => [
+const loadRow = ([endpoint, share]: Beacon["relayedLoad"][number]): readonly unknown[] => [
     endpoint,
     share.running,
     share.waitingTokens,
@@ -60,9 +60,9 @@
     ...rowsOf("weights", common.weights),
     ...rowsOf("spent", common.spent),
     ...rowsOf("ordered", common.ordered),
-    ...rowsOf("held", common.held),
+    ...rowsOf("engineVersions", common.engineVersions),
     ...rowsOf("deaths", common.deaths),
-    ...rowsOf("stopped", common.stopped),
+    ...rowsOf("quarantined", common.stopped),
     ...rowsOf(
         "vms",
         common.vms.map(each => [
@@ -76,17 +76,17 @@
     ),
     ...cachedRows(common.cached),
 ];
-const targetRows = ({ passedSpent, passedLoad }: PerTarget): readonly Row[] => [
-    ...rowsOf("passedSpent", passedSpent),
-    ...rowsOf("passedLoad", passedLoad.map(loadRow)),
+const targetRows = ({ passedSpent, relayedLoad }: PerTarget): readonly Row[] => [
+    ...rowsOf("relayedSpent", passedSpent),
+    ...rowsOf("relayedLoad", relayedLoad.map(loadRow)),
 ];
 
-/** The end of a datagram, behind what differs from one to the next. */
-const encodePage = (common: Common, page: Page, load: string, passedDemand: number): string => {
+/** Encodes the fields of a datagram that follow the sequence number, the timestamp and the echo. */
+const encodePage = (common: Common, page: Page, load: string, relayedDemand: number): string => {
     const { lease, registry } = common;
-    const list = (name: List): string => `[${(page.get(name) ?? []).map(({ json }) => json).join(",")}]`;
+    const list = (name: RowList): string => `[${(page.get(name) ?? []).map(({ json }) => json).join(",")}]`;
     const sizes = (page.get("cached") ?? []).map(row => row.sizes).join(",");
-    // The first field once named members; VMs of earlier versions expect a list there.
+    // VMs of earlier versions expect a list of members in the first field.
     return [
         "[]",
         common.revision,
@@ -95,14 +95,14 @@
         list("spent"),
         load,
         list("ordered"),
-        list("held"),
+        list("engineVersions"),
         JSON.stringify(lease === undefined ? null : [lease.offset, lease.holder, lease.ageMs]),
         common.hasStore,
         common.isLeaving,
         common.demand,
         list("cached"),
         list("deaths"),
-        list("stopped"),
+        list("quarantined"),
         `[${sizes}]`,
         JSON.stringify(registry === undefined ? null : [registry.digest, registry.ageMs]),
         common.upMs,
@@ -110,33 +110,33 @@
         JSON.stringify(common.scope),
         list("vms"),
         list("domains"),
-        list("passedSpent"),
-        list("passedLoad"),
-        passedDemand,
+        list("relayedSpent"),
+        list("relayedLoad"),
+        relayedDemand,
     ].join(",");
 };
 
 /**
- * Encodes beacons as datagrams: a JSON array each, since field names would be half of it. What they have in common is
- * encoded once, as dozens of VMs are told the same.
+ * Encodes beacons as datagrams, each a JSON array, since field names would take half of the bytes. The fields that are
+ * the same for all receivers are encoded once, as dozens of VMs get the same.
  *
- * @returns a function that gives one VM's datagrams
+ * @returns a function that encodes the datagrams for one receiver
  */
 export function createBeaconEncoder(common: Common): (own: PerTarget) => readonly Buffer[] {
     const head = JSON.stringify([BEACON_FORMAT, common.vm, common.incarnation, common.failureDomain]).slice(0, -1);
     const limit = DATAGRAM_BYTES - HEAD_BYTES;
     const load = JSON.stringify(common.load?.map(loadRow) ?? null);
     const pages = packRows(commonRows(common), limit);
-    const demandOf = common.scope === "vm" ? () => 0 : ({ passedDemand }: PerTarget) => passedDemand;
-    const first = (own: PerTarget): string => encodePage(common, pages[0] ?? new Map(), load, demandOf(own));
-    const rest = pages.slice(1).map(page => encodePage(common, page, "null", 0));
+    const relayedDemandOf = common.scope === "vm" ? () => 0 : ({ relayedDemand }: PerTarget) => relayedDemand;
+    const firstPage = (own: PerTarget): string => encodePage(common, pages[0] ?? new Map(), load, relayedDemandOf(own));
+    const otherPages = pages.slice(1).map(page => encodePage(common, page, "null", 0));
 
     return own => {
         const { sequence, sentAt, echo } = own;
         const echoed = JSON.stringify(echo === undefined ? null : [echo.incarnation, echo.sentAt, echo.heldMs]);
         const rows = targetRows(own);
-        const passed = rows.length === 0 ? [] : packRows(rows, limit);
-        return [first(own), ...rest, ...passed.map(page => encodePage(common, page, "null", 0))].map(tail =>
+        const relayed = rows.length === 0 ? [] : packRows(rows, limit);
+        return [firstPage(own), ...otherPages, ...relayed.map(page => encodePage(common, page, "null", 0))].map(tail =>
             Buffer.from(`${head},${sequence},${sentAt},${echoed},${tail}]`)
         );
     };
--- a/packages/router/src/peers/createBeaconExchange.ts
+++ b/packages/router/src/peers/createBeaconExchange.ts
@@ -5,79 +5,79 @@
 import type { BeaconTarget } from "./BeaconTarget.js";
 import { createBeaconEncoder } from "./createBeaconEncoder.js";
 import { createBeaconPacer } from "./createBeaconPacer.js";
-import { createNewsFlash } from "./createNewsFlash.js";
+import { createUrgentSender } from "./createUrgentSender.js";
 import { decodeBeacon } from "./decodeBeacon.js";
-import type { News } from "./News.js";
-import type { PassedRows } from "./PassedRows.js";
-import type { PassedSums } from "./PassedSums.js";
+import type { LocalState } from "./LocalState.js";
 import { peerTiming } from "./peerTiming.js";
+import type { RelayedRows } from "./RelayedRows.js";
+import type { RelayedSums } from "./RelayedSums.js";
 import { ringOrder } from "./ringOrder.js";
 
 type ExchangeParts = {
     readonly clock: Clock;
-    readonly later: (delayMs: Millis, run: () => void) => () => void;
+    readonly schedule: (delayMs: Millis, run: () => void) => () => void;
     readonly self: Pick<Beacon, "vm" | "incarnation" | "failureDomain" | "capacity">;
-    /** Who gets a beacon in a round, and what of. */
+    /** Who gets a beacon in a round, and whose state it contains. */
     readonly targets: (round: number) => readonly BeaconTarget[];
-    /** Who is told at once where there is news. */
+    /** Who gets urgent state between rounds. */
     readonly usualTargets: () => readonly BeaconTarget[];
     readonly intervalMs: () => Millis;
-    /** What a beacon tells of other VMs. */
-    readonly told: (scope: BeaconScope) => Pick<Beacon, "vms" | "domains">;
-    readonly news: () => News;
-    /** Orders under way. */
-    readonly ordered: (scope: BeaconScope) => PassedRows["ordered"];
-    /** What was read or saved since the last call. */
-    readonly takeCached: () => PassedRows["cached"];
-    /** The same of the VMs whose facts are passed on. */
-    readonly takePassed: (scope: "domain" | "fleet") => PassedRows["cached"];
-    readonly passed: (scope: BeaconScope) => (target: VmId | undefined) => PassedSums;
-    /** The load that is passed on, as far as it has changed since the last call. */
-    readonly loadChanges: (scope: BeaconScope) => (target: VmId | undefined) => PassedSums["passedLoad"];
+    /** Returns what a beacon contains about other VMs. */
+    readonly memberFields: (scope: BeaconScope) => Pick<Beacon, "vms" | "domains">;
+    readonly localState: () => LocalState;
+    /** Orders that engines execute now. */
+    readonly ordered: (scope: BeaconScope) => RelayedRows["ordered"];
+    /** Returns the prompt parts that were prefilled or stored since the last call. */
+    readonly drainCached: () => RelayedRows["cached"];
+    /** As `drainCached`, for the VMs whose state is relayed. */
+    readonly drainRelayed: (scope: "domain" | "fleet") => RelayedRows["cached"];
+    readonly relayedSums: (scope: BeaconScope) => (target: VmId | undefined) => RelayedSums;
+    /** Returns the relayed load of the endpoints where it has changed since the last call. */
+    readonly relayedLoadChanges: (scope: BeaconScope) => (target: VmId | undefined) => RelayedSums["relayedLoad"];
     readonly onBeacon: (beacon: Beacon, address: string) => void;
     readonly send: (datagram: Buffer, address: string) => void;
     readonly onUnreadable: () => void;
 };
 
-/** Tells other VMs, and hears them. */
+/** Sends beacons to other VMs, and receives theirs. */
 type BeaconExchange = {
     readonly receive: (datagram: Buffer, address: string) => void;
-    /** Tells at once what is urgent. */
-    readonly sendNow: () => void;
-    /** Ends after a last word to all. */
+    /** Sends urgent state before the next round; rate-limited. */
+    readonly sendSoon: () => void;
+    /** Stops after a final beacon to all targets of a round. */
     readonly stop: () => void;
 };
 
-type Stamp = { readonly incarnation: Incarnation; readonly sentAt: Millis; readonly at: Millis; };
-type Cached = PassedRows["cached"];
+type Stamp = { readonly incarnation: Incarnation; readonly sentAt: Millis; readonly receivedAt: Millis; };
+type Cached = RelayedRows["cached"];
 type Encoding = {
     readonly encode: ReturnType<typeof createBeaconEncoder>;
-    readonly sumsFor: (target: VmId | undefined) => PassedSums;
+    readonly sumsFor: (target: VmId | undefined) => RelayedSums;
 };
 
-const withLoad =
-    (load: (target: VmId | undefined) => PassedSums["passedLoad"]) => (target: VmId | undefined): PassedSums => ({
+const loadSums =
+    (load: (target: VmId | undefined) => RelayedSums["relayedLoad"]) => (target: VmId | undefined): RelayedSums => ({
         passedSpent: [],
-        passedLoad: load(target),
-        passedDemand: 0,
+        relayedLoad: load(target),
+        relayedDemand: 0,
     });
 
-/** Begins to send beacons to other VMs, and takes theirs. */
+/** Starts to send beacons to other VMs, and passes those that are received to `onBeacon`. */
 export function createBeaconExchange(parts: ExchangeParts): BeaconExchange {
     const { clock, self } = parts;
     const stamps = new Map<VmId, Stamp>();
-    const count = { round: 0, sequence: 0 };
-    /** Parts of prompts that are told in a round. */
-    const round: Record<"own" | "domain" | "fleet", Cached> = { own: [], domain: [], fleet: [] };
+    const counters = { round: 0, sequence: 0 };
+    /** Prompt parts that are sent in the current round. */
+    const roundCached: Record<"own" | "domain" | "fleet", Cached> = { own: [], domain: [], fleet: [] };
     const startedAt = clock.now();
 
     const cachedFor = (scope: BeaconScope): Cached =>
-        scope === "domain" || scope === "fleet" ? [...round.own, ...round[scope]] : round.own;
-    /** What cannot wait: revisions, weights, orders, crashes, load, and how old what is known is. */
-    const urgentOf = (scope: BeaconScope, news: News): Encoding => ({
+        scope === "domain" || scope === "fleet" ? [...roundCached.own, ...roundCached[scope]] : roundCached.own;
+    /** Encodes urgent state: revisions, weights, orders, crashes, load, and the age of what is known. */
+    const urgentEncoding = (scope: BeaconScope, localState: LocalState): Encoding => ({
         encode: createBeaconEncoder({
             ...self,
-            ...news,
+            ...localState,
             spent: [],
             vms: [],
             domains: [],
@@ -87,32 +87,32 @@
             upMs: clock.now() - startedAt,
             isLeaving: false,
         }),
-        sumsFor: withLoad(parts.loadChanges(scope)),
+        sumsFor: loadSums(parts.relayedLoadChanges(scope)),
     });
-    const encodingOf = (scope: BeaconScope, news: News, isLeaving: boolean): Encoding => ({
+    const fullEncoding = (scope: BeaconScope, localState: LocalState, isLeaving: boolean): Encoding => ({
         encode: createBeaconEncoder({
             ...self,
-            ...news,
-            ...parts.told(scope),
+            ...localState,
+            ...parts.memberFields(scope),
             scope,
             ordered: parts.ordered(scope),
             cached: cachedFor(scope),
             upMs: clock.now() - startedAt,
             isLeaving,
         }),
-        sumsFor: parts.passed(scope),
+        sumsFor: parts.relayedSums(scope),
     });
     const sendTo = ({ address, vm }: BeaconTarget, { encode, sumsFor }: Encoding): void => {
         const now = clock.now();
         const stamp = vm === undefined ? undefined : stamps.get(vm);
         const echo = stamp === undefined
             ? undefined
-            : { incarnation: stamp.incarnation, sentAt: stamp.sentAt, heldMs: now - stamp.at };
-        count.sequence += 1;
-        encode({ sequence: count.sequence, sentAt: now, echo, ...sumsFor(vm) })
+            : { incarnation: stamp.incarnation, sentAt: stamp.sentAt, heldMs: now - stamp.receivedAt };
+        counters.sequence += 1;
+        encode({ sequence: counters.sequence, sentAt: now, echo, ...sumsFor(vm) })
             .forEach(datagram => parts.send(datagram, address));
     };
-    const tellEach = (batch: readonly BeaconTarget[], encodingFor: (scope: BeaconScope) => Encoding): void => {
+    const sendEach = (batch: readonly BeaconTarget[], encodingFor: (scope: BeaconScope) => Encoding): void => {
         const encodings = new Map<BeaconScope, Encoding>();
         batch.forEach(target => {
             const encoding = encodings.get(target.scope) ?? encodingFor(target.scope);
@@ -120,36 +120,36 @@
             sendTo(target, encoding);
         });
     };
-    const tell = (batch: readonly BeaconTarget[], isLeaving = false): void => {
-        // What ages is gathered for each batch, so that nothing passes for newer than it is.
-        const news = parts.news();
-        tellEach(batch, scope => encodingOf(scope, news, isLeaving));
+    const sendFull = (batch: readonly BeaconTarget[], isLeaving = false): void => {
+        // Collected again for each batch, so that no age in it is too low.
+        const localState = parts.localState();
+        sendEach(batch, scope => fullEncoding(scope, localState, isLeaving));
     };
-    const flash = createNewsFlash({
+    const urgentSender = createUrgentSender({
         clock,
-        later: parts.later,
-        everyMs: () => parts.intervalMs() > peerTiming.loadMs ? peerTiming.loadMs : undefined,
-        tell: () => {
-            const news = parts.news();
+        schedule: parts.schedule,
+        maxGapMs: () => parts.intervalMs() > peerTiming.loadIntervalMs ? peerTiming.loadIntervalMs : undefined,
+        send: () => {
+            const localState = parts.localState();
             const targets = parts.usualTargets();
-            tellEach(targets, scope => urgentOf(scope, news));
+            sendEach(targets, scope => urgentEncoding(scope, localState));
             return targets.length;
         },
     });
     const targets = (): readonly BeaconTarget[] => {
-        count.round += 1;
-        return ringOrder(self.vm, parts.targets(count.round - 1));
+        counters.round += 1;
+        return ringOrder(self.vm, parts.targets(counters.round - 1));
     };
     const pacer = createBeaconPacer<BeaconTarget>({
         clock,
-        later: parts.later,
+        schedule: parts.schedule,
         targets,
         onRound: () => {
-            round.own = parts.takeCached();
-            round.domain = parts.takePassed("domain");
-            round.fleet = parts.takePassed("fleet");
+            roundCached.own = parts.drainCached();
+            roundCached.domain = parts.drainRelayed("domain");
+            roundCached.fleet = parts.drainRelayed("fleet");
         },
-        tell: batch => tell(batch),
+        send: batch => sendFull(batch),
         intervalMs: parts.intervalMs,
     });
 
@@ -159,13 +159,13 @@
             parts.onUnreadable();
             return;
         }
-        stamps.set(beacon.vm, { incarnation: beacon.incarnation, sentAt: beacon.sentAt, at: clock.now() });
+        stamps.set(beacon.vm, { incarnation: beacon.incarnation, sentAt: beacon.sentAt, receivedAt: clock.now() });
         parts.onBeacon(beacon, address);
     };
     const stop = (): void => {
         pacer.stop();
-        flash.stop();
-        tell(targets(), true);
+        urgentSender.stop();
+        sendFull(targets(), true);
     };
-    return { receive, sendNow: flash.tellSoon, stop };
+    return { receive, sendSoon: urgentSender.sendSoon, stop };
 }
--- a/packages/router/src/peers/createPassing.ts
+++ b/packages/router/src/peers/createPassing.ts
@@ -3,15 +3,15 @@
 
 import type { ChainPart } from "../placement/ChainPart.js";
 import type { Beacon } from "./Beacon.js";
-import type { PassedRows } from "./PassedRows.js";
+import type { RelayedRows } from "./RelayedRows.js";
 import type { VmRole } from "./VmRole.js";
 
-type PassedScope = "domain" | "fleet";
-type RowNews = Pick<Beacon, "cached" | "ordered">;
-type Order = { readonly version: number; readonly givenAt: Millis; readonly heardAt: Millis; };
-type Waiting = { readonly cached: Map<string, Map<string, Tokens>>; readonly orders: Map<EndpointName, Order>; };
+type RelayScope = "domain" | "fleet";
+type RowUpdate = Pick<Beacon, "cached" | "ordered">;
+type Order = { readonly version: number; readonly issuedAt: Millis; readonly receivedAt: Millis; };
+type Buffered = { readonly cached: Map<string, Map<string, Tokens>>; readonly orders: Map<EndpointName, Order>; };
 
-type PassingParts = {
+type RelayBufferParts = {
     readonly clock: Clock;
     readonly vm: VmId;
     readonly relays: () => readonly VmId[];
@@ -19,30 +19,33 @@
     readonly newsEveryMs: () => Millis;
 };
 
-/** What a relay passes on row by row. */
-type Passing = {
-    readonly hear: (beacon: RowNews, role: VmRole) => void;
-    /** Parts of prompts that were told since the last call. */
-    readonly takeCached: (scope: PassedScope) => PassedRows["cached"];
-    /** Orders that are under way, as they were told last. */
-    readonly ordered: (scope: PassedScope) => PassedRows["ordered"];
+/** State that a relay sends on row by row. */
+type RelayBuffer = {
+    readonly applyBeacon: (beacon: RowUpdate, role: VmRole) => void;
+    /** Returns the prompt parts that were received since the last call. */
+    readonly drainCached: (scope: RelayScope) => RelayedRows["cached"];
+    /** Orders that engines execute now, as they were last received. */
+    readonly ordered: (scope: RelayScope) => RelayedRows["ordered"];
 };
 
-const nothing = (): Waiting => ({ cached: new Map(), orders: new Map() });
+const emptyBuffer = (): Buffered => ({ cached: new Map(), orders: new Map() });
 
-const rowsOf = (cached: Waiting["cached"]): PassedRows["cached"] =>
+const rowsOf = (cached: Buffered["cached"]): RelayedRows["cached"] =>
     [...cached].map(([holder, parts]) =>
         [holder, [...parts].map(([key, tokens]): ChainPart => ({ key, tokens }))] as const
     );
 
 /**
- * Keeps what a relay passes on: from its failure domain to the others, and from everywhere to its failure domain. Relays
- * that hear the same share the parts of prompts between them by holder; one that dies takes some with it, which costs a
- * second reading at most.
+ * Buffers the rows that a relay sends on: from its failure domain to the others, and from all VMs to its failure
+ * domain. Relays that receive the same rows divide the prompt parts among themselves by holder. Parts that are lost
+ * when a relay dies cost at most a second prefill.
  */
-export function createPassing({ clock, vm, relays, newsEveryMs }: PassingParts): Passing {
-    const waiting = { domain: nothing(), fleet: nothing() };
-    /** By holder, as long as the relays are the same: asked for each row of each beacon. */
+export function createPassing({ clock, vm, relays, newsEveryMs }: RelayBufferParts): RelayBuffer {
+    const buffered = { domain: emptyBuffer(), fleet: emptyBuffer() };
+    /**
+     * Whether a holder is in this relay's share; cached while the relays stay the same, as each row of each beacon
+     * needs it.
+     */
     const shares = { relays: "", own: new Map<string, boolean>() };
     const isOwnShare = (holder: string): boolean => {
         const names = relays().join();
@@ -53,40 +56,40 @@
         return known;
     };
 
-    const note = (scope: PassedScope, { cached, ordered }: RowNews): void => {
-        const { cached: parts, orders } = waiting[scope];
+    const record = (scope: RelayScope, { cached, ordered }: RowUpdate): void => {
+        const { cached: parts, orders } = buffered[scope];
         cached.filter(([holder]) => isOwnShare(holder)).forEach(([holder, rows]) => {
             const known = parts.get(holder) ?? new Map<string, Tokens>();
             rows.forEach(({ key, tokens }) => known.set(key, tokens));
             parts.set(holder, known);
         });
-        const heardAt = clock.now();
+        const receivedAt = clock.now();
         ordered.forEach(([endpoint, version, ageMs]) =>
-            orders.set(endpoint, { version, givenAt: heardAt - ageMs, heardAt })
+            orders.set(endpoint, { version, issuedAt: receivedAt - ageMs, receivedAt })
         );
     };
-    const hear: Passing["hear"] = (beacon, role) => {
+    const applyBeacon: RelayBuffer["applyBeacon"] = (beacon, role) => {
         if (role !== "leaf" && role !== "foreign") {
             return;
         }
-        note("fleet", beacon);
+        record("fleet", beacon);
         if (role === "leaf") {
-            note("domain", beacon);
+            record("domain", beacon);
         }
     };
-    const takeCached: Passing["takeCached"] = scope => {
-        const rows = rowsOf(waiting[scope].cached);
-        waiting[scope].cached.clear();
+    const drainCached: RelayBuffer["drainCached"] = scope => {
+        const rows = rowsOf(buffered[scope].cached);
+        buffered[scope].cached.clear();
         return rows;
     };
-    const ordered: Passing["ordered"] = scope => {
-        const { orders } = waiting[scope];
+    const ordered: RelayBuffer["ordered"] = scope => {
+        const { orders } = buffered[scope];
         [...orders]
-            .filter(([, { heardAt }]) => clock.now() - heardAt > 2 * newsEveryMs())
+            .filter(([, { receivedAt }]) => clock.now() - receivedAt > 2 * newsEveryMs())
             .forEach(([endpoint]) => orders.delete(endpoint));
-        return [...orders].map(([endpoint, { version, givenAt }]) =>
-            [endpoint, version, Math.round(clock.now() - givenAt)] as const
+        return [...orders].map(([endpoint, { version, issuedAt }]) =>
+            [endpoint, version, Math.round(clock.now() - issuedAt)] as const
         );
     };
-    return { hear, takeCached, ordered };
+    return { applyBeacon, drainCached, ordered };
 }
--- /dev/null
+++ b/packages/router/src/peers/createUrgentSender.ts
@@ -0,0 +1,63 @@
+import type { Clock, Millis } from "@azureshunt/core";
+
+type UrgentSenderParts = {
+    readonly clock: Clock;
+    readonly schedule: (delayMs: Millis, run: () => void) => () => void;
+    /** Sends urgent state to all targets; returns their number. */
+    readonly send: () => number;
+    /** Maximum time between two urgent sends; `undefined` if rounds are as close together. */
+    readonly maxGapMs: () => Millis | undefined;
+};
+
+/** Sends state that cannot wait for the next round. */
+type UrgentSender = {
+    /** Requests an urgent send: at once, or as soon as the minimum gap has elapsed. */
+    readonly sendSoon: () => void;
+    readonly stop: () => void;
+};
+
+/** Time between checks whether there are now so many VMs that urgent sends are due without an update. */
+const RECHECK_MS: Millis = 1_000;
+/** Minimum time between two urgent sends. */
+const MIN_GAP_MS: Millis = 40;
+/** Minimum gap per target, so that continuous urgent sends take only a part of a small link. */
+const MIN_GAP_PER_VM_MS: Millis = 4;
+
+/**
+ * Sends urgent state between rounds.
+ *
+ * A wave of orders brings an update at the beginning and at the end of each order. VMs that have not received an order
+ * send requests to an engine that refuses them. So the first update goes out at once, and those that follow it are sent
+ * together.
+ *
+ * Hundreds of VMs place requests by each other's load, which reaches them over three hops. If it were sent only in
+ * rounds, it would be a second old, and queues would grow at some engines while others are idle.
+ */
+export function createUrgentSender({ clock, schedule, send, maxGapMs }: UrgentSenderParts): UrgentSender {
+    const state = { isRequested: false, nextAllowedAt: -Infinity as Millis, cancel: (): void => undefined };
+    const sendNow = (): void => {
+        state.isRequested = false;
+        const targets = send();
+        state.nextAllowedAt = clock.now() + Math.max(MIN_GAP_MS, targets * MIN_GAP_PER_VM_MS);
+        scheduleNext();
+    };
+    /** Schedules the next send without an update, or a check whether one is due. */
+    const scheduleNext = (): void => {
+        const ms = maxGapMs();
+        state.cancel = ms === undefined
+            ? schedule(RECHECK_MS, scheduleNext)
+            : schedule(Math.max(ms, state.nextAllowedAt - clock.now()), sendNow);
+    };
+    scheduleNext();
+    return {
+        sendSoon: () => {
+            if (!state.isRequested) {
+                state.isRequested = true;
+                state.cancel();
+                // Scheduled even without a delay, so that further updates of this event loop turn are sent with it.
+                state.cancel = schedule(Math.max(0, state.nextAllowedAt - clock.now()), sendNow);
+            }
+        },
+        stop: () => state.cancel(),
+    };
+}
--- /dev/null
+++ b/packages/router/src/peers/createVersionSelector.ts
@@ -0,0 +1,31 @@
+import type { EndpointName, Millis } from "@azureshunt/core";
+
+import type { EndpointBook } from "../placement/EndpointBook.js";
+
+/** Time for which each beacon lists a new version, so that a lost beacon does no harm. */
+const RECENT_MS: Millis = 3_000;
+/** Maximum number of other versions per beacon, in rotation. */
+const MAX_REPEATED = 8;
+
+/**
+ * Creates a function that selects which engines' versions a beacon lists: those that this VM saw change lately, and
+ * some of the others in rotation.
+ *
+ * If dozens of VMs each sent all versions of dozens of engines, which rarely change, these would be the larger part of
+ * each beacon. A VM that missed a change still receives it from whichever peer's rotation reaches it first.
+ */
+export function createVersionSelector(
+    versions: EndpointBook["heldVersions"],
+    now: () => Millis,
+): () => readonly (readonly [EndpointName, number])[] {
+    const rotation = { next: 0 };
+    return () => {
+        const all = versions();
+        const recent = all.filter(({ seenAt }) => now() - seenAt < RECENT_MS);
+        const others = all.filter(each => !recent.includes(each));
+        const from = others.length === 0 ? 0 : rotation.next % others.length;
+        const repeated = [...others.slice(from), ...others.slice(0, from)].slice(0, MAX_REPEATED);
+        rotation.next = from + repeated.length;
+        return [...recent, ...repeated].map(({ endpoint, version }) => [endpoint, version] as const);
+    };
+}
--- a/packages/router/src/peers/decodeBeacon.ts
+++ b/packages/router/src/peers/decodeBeacon.ts
@@ -1,11 +1,11 @@
 import type { Beacon } from "./Beacon.js";
 import { BEACON_FORMAT } from "./BEACON_FORMAT.js";
 
-const FIELDS = 20;
-/** Fields that came later; VMs that run an earlier version leave them out. */
+const MIN_FIELDS = 20;
+/** Positions of optional fields; VMs that run an earlier version leave them out. */
 const DEATHS = 20;
-const STOPPED = 21;
-/** Tokens of the parts in the field of cached ones, in the same order. */
+const QUARANTINED = 21;
+/** Tokens of the cached parts, in the same order as their keys. */
 const CACHED_TOKENS = 22;
 const REGISTRY = 23;
 const UP_MS = 24;
@@ -13,9 +13,9 @@
 const SCOPE = 26;
 const VMS = 27;
 const DOMAINS = 28;
-const PASSED_SPENT = 29;
-const PASSED_LOAD = 30;
-const PASSED_DEMAND = 31;
+const RELAYED_SPENT = 29;
+const RELAYED_LOAD = 30;
+const RELAYED_DEMAND = 31;
 
 const SCOPES: readonly unknown[] = ["vm", "domain", "fleet", "referral"];
 
@@ -34,10 +34,13 @@
 const isTriple = (value: unknown, ...checks: readonly ((item: unknown) => boolean)[]): boolean =>
     value === null || (isRow(value) && checks.every((check, i) => check(value[i])));
 
-/** The rows are checked by hand: a schema library would cost as much as all else that a beacon costs. */
-const isSound = (row: Row): boolean =>
+/**
+ * Returns whether the fields are valid. Checked by hand, as a schema library would cost as much as all other work on a
+ * beacon.
+ */
+const isValid = (row: Row): boolean =>
     row[0] === BEACON_FORMAT
-    && row.length >= FIELDS
+    && row.length >= MIN_FIELDS
     && isText(row[1]) && isText(row[2]) && isText(row[3])
     && isNumber(row[4]) && isNumber(row[5])
     && isTriple(row[6], isText, isNumber, isNumber)
@@ -54,7 +57,7 @@
     && isNumber(row[18])
     && areRows(row[19], isText, keys => isRow(keys) && keys.every(isText))
     && areRows(row[DEATHS] ?? [], isText, isText)
-    && areRows(row[STOPPED] ?? [], isText, isNumber)
+    && areRows(row[QUARANTINED] ?? [], isText, isNumber)
     && (row[CACHED_TOKENS] === undefined || areNumbers(row[CACHED_TOKENS]))
     && isTriple(row[REGISTRY] ?? null, isText, isNumber)
     && (row[UP_MS] === undefined || isNumber(row[UP_MS]))
@@ -62,16 +65,16 @@
     && SCOPES.includes(row[SCOPE] ?? "vm")
     && areRows(row[VMS] ?? [], isText, isText, isText, isNumber, isFlag, isNumber)
     && areRows(row[DOMAINS] ?? [], isText, isNumber, isNumber, isNumber)
-    && areRows(row[PASSED_SPENT] ?? [], isText, isNumber, isNumber)
-    && areRows(row[PASSED_LOAD] ?? [], isText, isNumber, isNumber, isNumber)
-    && isNumber(row[PASSED_DEMAND] ?? 0);
+    && areRows(row[RELAYED_SPENT] ?? [], isText, isNumber, isNumber)
+    && areRows(row[RELAYED_LOAD] ?? [], isText, isNumber, isNumber, isNumber)
+    && isNumber(row[RELAYED_DEMAND] ?? 0);
 
 const parse = (datagram: Buffer): unknown => {
     try {
         return JSON.parse(datagram.toString("utf8"));
     }
     catch {
-        // What is not JSON comes from no VM of ours; the caller counts it.
+        // No VM sends anything but JSON; the caller counts such datagrams.
         return undefined;
     }
 };
@@ -83,14 +86,16 @@
     { running, waitingTokens, memoryTokens },
 ];
 
-/** Reads a datagram; undefined where it is no beacon of this format. Further fields of later versions are ignored. */
+/**
+ * Decodes a datagram; `undefined` if it is no beacon of this format. Additional fields of later versions are ignored.
+ */
 export function decodeBeacon(datagram: Buffer): Beacon | undefined {
     const row = parse(datagram);
-    if (!isRow(row) || !isSound(row)) {
+    if (!isRow(row) || !isValid(row)) {
         return undefined;
     }
     const [, vm, incarnation, failureDomain, sequence, sentAt, echo, , revision, confirmed, weights, spent] = row;
-    const [load, ordered, held, lease, hasStore, isLeaving, demand, cached] = row.slice(12);
+    const [load, ordered, engineVersions, lease, hasStore, isLeaving, demand, cached] = row.slice(12);
     const cachedKeys = cached as readonly [string, readonly string[]][];
     const cachedTokens = (row[CACHED_TOKENS] ?? []) as readonly (readonly number[])[];
     const registry = row[REGISTRY];
@@ -98,7 +103,7 @@
     const loads = load as readonly LoadRow[] | null;
     const vms = (row[VMS] ?? []) as readonly (readonly unknown[])[];
     const domains = (row[DOMAINS] ?? []) as readonly (readonly unknown[])[];
-    // All fields were checked above; the casts give them their brands.
+    // All fields were checked above; the casts only add the branded types.
     return {
         vm,
         incarnation,
@@ -109,11 +114,11 @@
         revision,
         confirmedMs: confirmed ?? undefined,
         weights,
-        // Earlier versions do not tell what is asked of them.
+        // Earlier versions do not send the tokens requested per second.
         spent: spending.map(([id, tokens, perSecond]) => [id, tokens, perSecond ?? 0]),
         load: loads?.map(loadOfRow),
         ordered,
-        held,
+        engineVersions,
         lease: isRow(lease) ? { offset: lease[0], holder: lease[1], ageMs: lease[2] } : undefined,
         hasStore,
         isLeaving,
@@ -124,7 +129,7 @@
         ]),
         registry: isRow(registry) ? { digest: registry[0], ageMs: registry[1] } : undefined,
         deaths: row[DEATHS] ?? [],
-        stopped: row[STOPPED] ?? [],
+        stopped: row[QUARANTINED] ?? [],
         upMs: row[UP_MS] ?? Infinity,
         capacity: row[CAPACITY] ?? 0,
         scope: row[SCOPE] ?? "vm",
@@ -142,8 +147,8 @@
             silent,
             ageMs,
         })),
-        passedSpent: row[PASSED_SPENT] ?? [],
-        passedLoad: ((row[PASSED_LOAD] ?? []) as readonly LoadRow[]).map(loadOfRow),
-        passedDemand: row[PASSED_DEMAND] ?? 0,
+        passedSpent: row[RELAYED_SPENT] ?? [],
+        relayedLoad: ((row[RELAYED_LOAD] ?? []) as readonly LoadRow[]).map(loadOfRow),
+        relayedDemand: row[RELAYED_DEMAND] ?? 0,
     } as unknown as Beacon;
 }
--- a/packages/router/src/peers/decodeListedVm.ts
+++ b/packages/router/src/peers/decodeListedVm.ts
@@ -19,7 +19,7 @@
     }
 };
 
-/** Reads what a VM wrote of itself into the list in the store; undefined where that cannot be read. */
+/** Decodes a VM's record of the VM list in the store; `undefined` if it is not valid. */
 export function decodeListedVm(vm: VmId, value: Buffer): ListedVm | undefined {
     const listed = Listed.safeParse(parse(value));
     return listed.success ? { vm, ...listed.data } : undefined;
--- a/packages/router/src/peers/isReader.ts
+++ b/packages/router/src/peers/isReader.ts
@@ -5,16 +5,18 @@
 import { relaysOf } from "./relaysOf.js";
 
 /**
- * Says whether this VM reads the store for the others: the first by name of the relays that read it, as their word reaches
- * the others soonest. While two think so, or none, nothing but the number of reads changes.
+ * Returns whether this VM reads the store for the others. The reader is the first by name of the live relays that have
+ * the store, as what a relay sends reaches the others soonest. If two VMs take themselves for the reader, or none does,
+ * only the number of reads changes.
  *
- * @param domain where it reads for its own failure domain alone; undefined where it reads for all
+ * @param domain this VM's failure domain, if the reader of that domain alone is meant; `undefined` for the reader of
+ * all VMs
  */
 export function isReader(members: Members, now: Millis, domain?: FailureDomain): boolean {
     const relays = relaysOf(members, members.failureDomain, now);
     const isRelay = (vm: VmId): boolean => {
-        const at = members.known.get(vm)?.failureDomain;
-        return at !== undefined && relaysOf(members, at, now).includes(vm);
+        const memberDomain = members.known.get(vm)?.failureDomain;
+        return memberDomain !== undefined && relaysOf(members, memberDomain, now).includes(vm);
     };
     return relays.includes(members.vm)
         && livingReaders(members, now, domain).filter(vm => vm < members.vm).every(vm => !isRelay(vm));
--- a/packages/router/src/peers/isSilent.ts
+++ b/packages/router/src/peers/isSilent.ts
@@ -4,7 +4,7 @@
 import type { Members } from "./Members.js";
 import { peerTiming } from "./peerTiming.js";
 
-/** Says whether a VM is out of hearing, beyond some lost beacons. */
+/** Returns whether a VM is silent: more beacons are missing than a few lost datagrams explain. */
 export function isSilent(members: Members, { seenAt }: { readonly seenAt: Millis; }, now: Millis): boolean {
-    return now - seenAt > peerTiming.unheardBeacons * beaconInterval(members.known.size);
+    return now - seenAt > peerTiming.missedBeacons * beaconInterval(members.known.size);
 }
--- a/packages/router/src/peers/lastHeard.ts
+++ b/packages/router/src/peers/lastSeenByDomain.ts
@@ -2,8 +2,11 @@
 
 import type { Members } from "./Members.js";
 
-/** When any VM of each failure domain was last heard; domains of which none is known are left out. */
-export function lastHeard(members: Members): ReadonlyMap<FailureDomain, Millis> {
+/**
+ * Returns when any VM of each failure domain was last seen; domains without a known VM, or with none seen yet, are left
+ * out.
+ */
+export function lastSeenByDomain(members: Members): ReadonlyMap<FailureDomain, Millis> {
     const { known, fleet } = members;
     const seen = [
         ...[...known.values()].map(({ failureDomain, seenAt }) => [failureDomain, seenAt] as const),
--- a/packages/router/src/peers/packRows.ts
+++ b/packages/router/src/peers/packRows.ts
@@ -1,11 +1,11 @@
-/** A row of a list as JSON, and what goes along with it. */
+/** A row of a list as JSON, and its sizes as JSON if they are a list of their own. */
 type Row<List extends string> = { readonly list: List; readonly json: string; readonly sizes?: string; };
 
 /**
- * Shares rows out to pages of limited size, in their order.
+ * Distributes rows to pages of limited size and keeps their order.
  *
- * @param limit characters of one page; a row that is larger has a page of its own
- * @returns at least one page: the rows of each list by the list's name
+ * @param limit maximum characters per page; a larger row gets a page of its own
+ * @returns at least one page, each with its rows by the name of their list
  */
 export function packRows<List extends string>(
     rows: readonly Row<List>[],
--- /dev/null
+++ b/packages/router/src/peers/peerDemand.ts
@@ -0,0 +1,19 @@
+import type { Millis, Tokens } from "@azureshunt/core";
+
+import type { Members } from "./Members.js";
+
+/** Time for which a received demand counts, even if its VM is gone: its callers then go to other VMs. */
+const DEMAND_EXPIRY_MS = 5_000;
+
+type ReceivedDemand = { readonly at: Millis; readonly demand: Tokens; };
+
+/** Returns the sum of the prompt tokens that callers send to the other VMs per millisecond. */
+export function peerDemand(members: Members, isRelay: boolean, now: Millis): Tokens {
+    const direct = [...members.known.values()].flatMap(({ heard }): readonly ReceivedDemand[] =>
+        heard === undefined ? [] : [{ at: heard.at, demand: heard.beacon.demand }]
+    );
+    const relayed = isRelay ? [...members.behind.values()] : members.fleet === undefined ? [] : [members.fleet];
+    return [...direct, ...relayed]
+        .filter(({ at }) => now - at < DEMAND_EXPIRY_MS)
+        .reduce((sum, { demand }) => sum + demand, 0);
+}
--- a/packages/router/src/peers/peerTiming.ts
+++ b/packages/router/src/peers/peerTiming.ts
@@ -1,34 +1,46 @@
-/** Times of what VMs tell each other, in milliseconds, and numbers that go with them. */
+/** Times and limits of the beacons between VMs; times are in milliseconds. */
 const peerTiming = {
-    /** Between two beacons to one VM when there are few. */
+    /** Minimum time between two beacons to one VM, used with few VMs. */
     beaconMs: 200,
-    /** Added to it for each VM, up to the longest time, so that few VMs know the others' load as of a few choices ago. */
+    /**
+     * Beacon interval per known peer, bounded by `beaconMs` and `maxBeaconMs`, so that with few VMs the known load of
+     * others is only a few choices old.
+     */
     perMemberMs: 25,
-    longestBeaconMs: 500,
-    /** Between two words of a VM's load; in rounds as they are apart among more VMs it would be too old to place by. */
-    loadMs: 200,
-    /** VMs of each failure domain that pass on its facts; with one more than that a domain still serves after two deaths. */
+    maxBeaconMs: 500,
+    /**
+     * Maximum time between two sends of a VM's load. With many VMs the load would be too old for placement if sent only
+     * in rounds.
+     */
+    loadIntervalMs: 200,
+    /** Relays per failure domain. A domain with one more VM than that still serves after two deaths. */
     relays: 2,
-    /** Up to so many VMs beacons are 225 ms apart at most, so that each knows the others' load as of a few choices ago. */
+    /**
+     * Up to this number of VMs, beacons are at most 225 ms apart, so that the others' load is only a few choices old.
+     */
     fewVms: 9,
-    /** A beacon that was overtaken by one sent so much later still counts: datagrams of a round and a flash may cross. */
+    /**
+     * A beacon still counts if it was overtaken by one sent up to this much later: rounds and urgent sends may cross.
+     */
     reorderMs: 100,
-    /** Beacons without which a VM counts as out of hearing; one may be lost. */
-    unheardBeacons: 4,
+    /** Missed beacons after which a VM counts as silent. More than one, because a single datagram may be lost. */
+    missedBeacons: 4,
     /**
-     * After which a VM out of hearing counts as gone. A VM that is cut off from the store and all others serves no
-     * keys after the time in which a withdrawal has to hold, so it spends nothing any more by then.
+     * Time after which a silent VM counts as gone. A VM that is cut off from the store and all others serves no keys
+     * after the time within which a withdrawal must take effect, so it spends nothing any more by then.
      */
     goneMs: 8_000,
-    /** A VM that was heard so lately may be a relay, and may read the store for others. */
-    livingMs: 2_000,
-    /** After the start, listed VMs count as there though they have not been heard. */
+    /** A VM seen within this time is alive: it may be a relay, and may read the store for others. */
+    aliveMs: 2_000,
+    /** Time after the start for which listed VMs count as present although nothing was received from them yet. */
     settleMs: 2_000,
-    /** Silent VMs get a beacon more seldom, in case that they come back. */
+    /** Time between two beacons to silent VMs, which may come back. */
     silentBeaconMs: 1_000,
-    /** Silent VMs of each failure domain that get one at a time: those that would be relays, and one more by turns. */
+    /**
+     * Silent VMs per failure domain that get a beacon at a time: those that would be relays, and one more in rotation.
+     */
     silentAtOnce: 3,
-    /** After which even that ends. A failure domain may be cut off for minutes. */
+    /** Time after which a silent VM is forgotten. A failure domain may be cut off for minutes. */
     forgetMs: 600_000,
 } as const;
 
--- a/packages/router/src/peers/passedDemand.ts
+++ b/packages/router/src/peers/relayedDemand.ts
@@ -4,8 +4,8 @@
 import { peerTiming } from "./peerTiming.js";
 import type { VmRole } from "./VmRole.js";
 
-/** Adds up the prompt tokens in a millisecond that a relay tells as demand of the VMs whose facts it passes on. */
-export function passedDemand(
+/** Returns the demand, in prompt tokens per millisecond, of the VMs whose state a relay sends to a target. */
+export function relayedDemand(
     members: Members,
     scope: "domain" | "fleet",
     roleOf: (vm: VmId) => VmRole,
@@ -18,8 +18,8 @@
             ? []
             : [{ at: heard.at, demand: heard.beacon.demand }]
     );
-    const behind = scope === "domain" ? [] : [...members.behind.values()];
-    return [...direct, ...behind]
+    const summaries = scope === "domain" ? [] : [...members.behind.values()];
+    return [...direct, ...summaries]
         .filter(({ at }) => now - at < peerTiming.goneMs)
         .reduce((sum, { demand }) => sum + demand, 0);
 }
--- a/packages/router/src/peers/foreignRelays.ts
+++ b/packages/router/src/peers/remoteRelays.ts
@@ -5,7 +5,7 @@
 
 type Member = NonNullable<ReturnType<Members["known"]["get"]>>;
 
-const lastWords = (members: Members): ReadonlyMap<FailureDomain, Millis> => {
+const lastReceivedByDomain = (members: Members): ReadonlyMap<FailureDomain, Millis> => {
     const last = new Map<FailureDomain, Millis>();
     members.known.forEach(({ heard }) => {
         if (heard !== undefined) {
@@ -16,15 +16,15 @@
 };
 
 /**
- * Lists the relays of other failure domains that this VM hears, or heard until the domain was cut off; one that others there
- * have outlasted is counted by these.
+ * Lists the relays of other failure domains that send to this VM, or did until their domain fell silent. A relay from
+ * which nothing came for longer than from others of its domain is left out, as those count it.
  */
-export function foreignRelays(members: Members, now: Millis): readonly Member[] {
-    const last = lastWords(members);
+export function remoteRelays(members: Members, now: Millis): readonly Member[] {
+    const last = lastReceivedByDomain(members);
     return [...members.known.values()].filter(({ failureDomain, heard }) =>
         failureDomain !== members.failureDomain
         && heard?.beacon.scope === "domain"
         && now - heard.at < peerTiming.goneMs
-        && heard.at > (last.get(heard.failureDomain) ?? -Infinity) - peerTiming.livingMs
+        && heard.at > (last.get(heard.failureDomain) ?? -Infinity) - peerTiming.aliveMs
     );
 }
--- a/packages/router/src/peers/ringOrder.ts
+++ b/packages/router/src/peers/ringOrder.ts
@@ -5,8 +5,8 @@
 const byName = (a: BeaconTarget, b: BeaconTarget): number => (a.vm ?? "") < (b.vm ?? "") ? -1 : 1;
 
 /**
- * Puts those to be told in the order of their names, beginning behind this VM's own. Of the VMs that begin a round at the
- * same moment, each batch then tells each VM as many times as a batch is large, and no VM hears of all at once.
+ * Sorts targets by name, starting after this VM's own name. When VMs begin a round at the same moment, each VM then
+ * gets as many beacons per batch as a batch has targets, and never all of them at once.
  */
 export function ringOrder(self: VmId, targets: readonly BeaconTarget[]): readonly BeaconTarget[] {
     const named = targets.filter(({ vm }) => vm !== undefined).sort(byName);
--- a/packages/router/src/peers/roleOf.ts
+++ b/packages/router/src/peers/roleOf.ts
@@ -2,7 +2,7 @@
 
 import type { VmRole } from "./VmRole.js";
 
-/** What decides a VM's role. */
+/** Inputs that decide the role of a VM. */
 type RoleView = {
     readonly vm: VmId;
     readonly failureDomain: FailureDomain | undefined;
@@ -10,7 +10,7 @@
     readonly relays: ReadonlyMap<FailureDomain, readonly VmId[]>;
 };
 
-/** Says what a VM is to another one. */
+/** Returns the role of a peer as seen by `self`. */
 export function roleOf({ vm, failureDomain, self, relays }: RoleView): VmRole {
     const isRelay = failureDomain !== undefined && (relays.get(failureDomain) ?? []).includes(vm);
     const isSelfRelay = (relays.get(self.failureDomain) ?? []).includes(self.vm);
--- a/packages/router/src/peers/startAnnouncing.ts
+++ b/packages/router/src/peers/startAnnouncing.ts
@@ -17,17 +17,20 @@
     readonly logger: Logger;
 };
 
-/** Keeps the list of VMs in the store, as far as it is this VM's to read and to write. */
+/** Reads and writes the VM list in the store on behalf of this VM. */
 type Announcing = {
-    /** Looks whether something is due; called several times a second. */
+    /** Starts a read or a write if one is due; called several times a second. */
     readonly tick: () => void;
 };
 
 const VMS_TOPIC = "keyed.azureshunt.vms";
-/** Between tries while the store does not answer; meanwhile VMs find each other by seeds and relays. */
+/**
+ * Minimum time between two calls of the store, also if it does not answer; meanwhile VMs find each other through seeds
+ * and relays.
+ */
 const RETRY_MS: Millis = 1_000;
 
-/** Reads the list of VMs in the store, and writes this VM into it, when they are due. */
+/** Starts to read the VM list in the store, and to write this VM into it, whenever that is due. */
 export function startAnnouncing(parts: AnnouncingParts): Announcing {
     const { clock, store, self, membership, logger } = parts;
     const { address, failureDomain, capacity } = self;
@@ -44,11 +47,11 @@
     const list = async (): Promise<void> => {
         const page = await store.newest(VMS_TOPIC);
         page.caseOf({
-            Left: failure => logger.info({ failure: failure.kind }, "The list of VMs could not be read."),
+            Left: failure => logger.info({ failure: failure.kind }, "Reading the VM list failed."),
             Right: ({ records }) => {
                 state.listedAt = clock.now();
-                const isThere = records.some(({ key, value }) => key === self.vm && value?.equals(own) === true);
-                state.writtenAt = isThere ? Math.max(state.writtenAt, startedAt) : state.writtenAt;
+                const isListed = records.some(({ key, value }) => key === self.vm && value?.equals(own) === true);
+                state.writtenAt = isListed ? Math.max(state.writtenAt, startedAt) : state.writtenAt;
                 membership.list(
                     records.flatMap(({ key, value }) =>
                         value === undefined ? [] : decodeListedVm(key as VmId, value) ?? []
@@ -60,7 +63,7 @@
     const put = async (): Promise<void> => {
         const written = await store.put(VMS_TOPIC, self.vm, own);
         state.writtenAt = written.isRight() ? clock.now() : state.writtenAt;
-        written.ifLeft(failure => logger.warn({ failure: failure.kind }, "This VM could not be listed."));
+        written.ifLeft(failure => logger.warn({ failure: failure.kind }, "Registering this VM in the VM list failed."));
     };
     const tick = (): void => {
         const now = clock.now();
--- a/packages/router/src/peers/startBeacons.ts
+++ b/packages/router/src/peers/startBeacons.ts
@@ -4,22 +4,22 @@
 
 type ExchangeParts = Parameters<typeof createBeaconExchange>[0];
 
-type BeaconParts = Omit<ExchangeParts, "later" | "send" | "onUnreadable"> & {
-    /** `host:port` on which beacons are received, and from which they are sent. */
+type BeaconParts = Omit<ExchangeParts, "schedule" | "send" | "onUnreadable"> & {
+    /** `host:port` from which beacons are sent, and to which they are sent. */
     readonly address: string;
-    /** A datagram of so many bytes was sent. */
+    /** Called with the size of each datagram that is sent. */
     readonly onSent: (bytes: number) => void;
     readonly onFault: (what: "unreadable" | "socket", err: Error | undefined) => void;
 };
 
-/** The last datagrams are handed to the system at once; closing right away would drop them. */
+/** Delay before the socket is closed, as closing it at once would drop the final datagrams. */
 const CLOSE_AFTER_MS = 20;
 
 /**
- * Sends beacons to other VMs and takes theirs. Datagrams need no connection that could fall silent, and a lost one is made
- * up for by the next.
+ * Starts to send beacons to other VMs, and to receive theirs. Datagrams need no connection that could hang, and the
+ * next beacon makes up for a lost one.
  *
- * @returns functions that tell all soon, and that stop after a last word to all
+ * @returns `sendNow` requests an urgent send, and `stop` stops after a final beacon
  */
 export function startBeacons(parts: BeaconParts): { readonly sendNow: () => void; readonly stop: () => void; } {
     const socket = createSocket("udp4");
@@ -42,7 +42,7 @@
         exchange.current = createBeaconExchange({
             ...parts,
             send,
-            later: (delayMs, run) => {
+            schedule: (delayMs, run) => {
                 const timer = setTimeout(run, delayMs);
                 return () => clearTimeout(timer);
             },
@@ -50,7 +50,7 @@
         });
     });
     return {
-        sendNow: () => exchange.current?.sendNow(),
+        sendNow: () => exchange.current?.sendSoon(),
         stop: () => {
             exchange.current?.stop();
             setTimeout(() => socket.close(), CLOSE_AFTER_MS);
--- a/packages/router/src/peers/startPeerListener.ts
+++ b/packages/router/src/peers/startPeerListener.ts
@@ -4,12 +4,12 @@
 import { encodeTopicAnswer } from "../store/encodeTopicAnswer.js";
 import type { TopicAnswer } from "../store/TopicAnswer.js";
 
-/** What other VMs can ask for. */
+/** What other VMs can request. */
 type PeerListenerParts = {
     readonly address: string;
-    /** The configuration as the store gave it; undefined while there is none. */
+    /** Returns the configuration in the encoding of the store; `undefined` while there is none. */
     readonly configuration: () => Buffer | undefined;
-    /** By topic: what this VM answers in place of the store; undefined where it knows nothing fresh. */
+    /** By topic: returns this VM's answer in place of the store; `undefined` if it has no fresh one. */
     readonly topics: ReadonlyMap<string, (from: number | undefined) => TopicAnswer | undefined>;
 };
 
@@ -25,8 +25,8 @@
 };
 
 /**
- * Serves other VMs: `GET /configuration` to those that are cut off from the store, and `GET /topics/NAME?from=OFFSET` to
- * those of its failure domain, in place of the store.
+ * Starts the HTTP listener for other VMs: `GET /configuration` for those that are cut off from the store, and
+ * `GET /topics/NAME?from=OFFSET`, in place of the store, for those of this VM's failure domain.
  */
 export function startPeerListener(parts: PeerListenerParts): Promise<Server> {
     const end = (res: ServerResponse, body: Buffer | undefined): void => {
@@ -38,7 +38,7 @@
         res.end();
     };
     return startListener(parts.address, (req, res) => {
-        // Not by `URL`, which throws on targets that a caller may send.
+        // `URL` would throw on some request targets.
         const [path = "", query = ""] = (req.url ?? "").split("?", 2);
         if (path === "/configuration") {
             end(res, parts.configuration());
--- a/packages/router/src/peers/stepMembers.ts
+++ b/packages/router/src/peers/stepMembers.ts
@@ -9,7 +9,7 @@
 
 type Member = NonNullable<ReturnType<Members["known"]["get"]>>;
 
-const list = (members: Members, vms: readonly ListedVm[]): Members => {
+const addListed = (members: Members, vms: readonly ListedVm[]): Members => {
     const added = vms.filter(({ vm }) => vm !== members.vm && !members.known.has(vm));
     const known = added.map(each =>
         [each.vm, { ...each, hasStore: false, seenAt: -Infinity, heard: undefined }] as const
@@ -18,8 +18,10 @@
 };
 
 /**
- * Failure: datagrams wait in a suspended VM's buffers and are read as news when it goes on; it would take a key for valid
- * that was withdrawn meanwhile. Guard: how old a beacon is follows from this VM's own time stamp that came back in it.
+ * Returns the earliest time at which a beacon can have been sent, computed from this VM's timestamp that it echoes.
+ *
+ * While a VM is suspended, datagrams wait in its buffers. If it took them for current when it resumes, it would accept
+ * a key that was withdrawn meanwhile.
  */
 const agesOf = (
     { incarnation }: Members,
@@ -29,33 +31,37 @@
         ? { sentAfter: -Infinity, stampedAt: -Infinity }
         : { sentAfter: echo.sentAt + echo.heldMs, stampedAt: echo.sentAt };
 
-/** What another VM tells of a third one counts where it is newer than what is known, also from that VM itself. */
-const withKnownVm = (known: Map<VmId, Member>, each: KnownVm, toldAt: Millis): void => {
+/** Applies what a peer sends about a third VM, if it is newer than what this VM knows, even from that VM itself. */
+const withKnownVm = (known: Map<VmId, Member>, each: KnownVm, sentAfter: Millis): void => {
     const { vm, address, failureDomain, capacity, hasStore, ageMs } = each;
     const before = known.get(vm);
-    const seenAt = toldAt - ageMs;
+    const seenAt = sentAfter - ageMs;
     if (seenAt > (before?.seenAt ?? -Infinity)) {
         known.set(vm, { vm, address, failureDomain, capacity, hasStore, seenAt, heard: before?.heard });
     }
 };
 
-/** A beacon of several parts tells the counts in one of them. */
-const withCounts = (members: Members, beacon: Beacon, at: Millis): Pick<Members, "behind" | "fleet"> => {
+/** Applies the counts of a relay. If a beacon takes several datagrams, only one of them contains the counts. */
+const withRelaySummary = (members: Members, beacon: Beacon, at: Millis): Pick<Members, "behind" | "fleet"> => {
     const { behind, fleet } = members;
-    const told = { at, domains: beacon.domains, demand: beacon.passedDemand };
+    const summary = { at, domains: beacon.domains, demand: beacon.relayedDemand };
     if (beacon.domains.length === 0) {
         return { behind, fleet };
     }
     return beacon.scope === "fleet"
-        ? { behind, fleet: told }
-        : { behind: new Map(behind).set(beacon.failureDomain, told), fleet };
+        ? { behind, fleet: summary }
+        : { behind: new Map(behind).set(beacon.failureDomain, summary), fleet };
 };
 
-const hear = (members: Members, event: Extract<MembersEvent, { readonly kind: "beacon"; }>, now: Millis): Members => {
+const applyBeacon = (
+    members: Members,
+    event: Extract<MembersEvent, { readonly kind: "beacon"; }>,
+    now: Millis,
+): Members => {
     const { beacon, address } = event;
-    const before = members.known.get(beacon.vm)?.heard;
-    const isOvertaken = before?.incarnation === beacon.incarnation
-        && before.beacon.sentAt - beacon.sentAt > peerTiming.reorderMs;
+    const previous = members.known.get(beacon.vm)?.heard;
+    const isOvertaken = previous?.incarnation === beacon.incarnation
+        && previous.beacon.sentAt - beacon.sentAt > peerTiming.reorderMs;
     if (beacon.vm === members.vm || isOvertaken) {
         return members;
     }
@@ -64,29 +70,29 @@
     }
     const { vm, incarnation, failureDomain, capacity, hasStore } = beacon;
     const heard = { incarnation, failureDomain, at: now, beacon, ...agesOf(members, beacon) };
-    const toldAt = heard.sentAfter === -Infinity ? now : heard.sentAfter;
+    const sentAfter = heard.sentAfter === -Infinity ? now : heard.sentAfter;
     const known = new Map(members.known);
     known.set(vm, { vm, address, failureDomain, capacity, hasStore, seenAt: now, heard });
-    beacon.vms.filter(each => each.vm !== members.vm).forEach(each => withKnownVm(known, each, toldAt));
-    return { ...members, known, ...withCounts(members, beacon, toldAt) };
+    beacon.vms.filter(each => each.vm !== members.vm).forEach(each => withKnownVm(known, each, sentAfter));
+    return { ...members, known, ...withRelaySummary(members, beacon, sentAfter) };
 };
 
-const forget = (members: Members, now: Millis): Members => {
+const forgetSilent = (members: Members, now: Millis): Members => {
     const isForgotten = (at: Millis): boolean => now - at > peerTiming.forgetMs;
-    const kept = [...members.known].filter(([, { seenAt }]) =>
+    const remembered = [...members.known].filter(([, { seenAt }]) =>
         !isForgotten(seenAt === -Infinity ? members.startedAt : seenAt)
     );
-    return kept.length === members.known.size ? members : { ...members, known: new Map(kept) };
+    return remembered.length === members.known.size ? members : { ...members, known: new Map(remembered) };
 };
 
-/** Applies what is learnt about other VMs. */
+/** Returns the members after an event. */
 export function stepMembers(members: Members, event: MembersEvent, now: Millis): Members {
     switch (event.kind) {
         case "listed":
-            return list(members, event.vms);
+            return addListed(members, event.vms);
         case "beacon":
-            return hear(members, event, now);
+            return applyBeacon(members, event, now);
         case "tick":
-            return forget(members, now);
+            return forgetSilent(members, now);
     }
 }
--- a/packages/router/src/peers/usualTargets.ts
+++ b/packages/router/src/peers/usualTargets.ts
@@ -2,17 +2,20 @@
 
 import type { BeaconTarget } from "./BeaconTarget.js";
 import { domainsOf } from "./domainsOf.js";
-import { isLiving } from "./isLiving.js";
+import { isAlive } from "./isAlive.js";
 import type { Members } from "./Members.js";
 import { relaysOf } from "./relaysOf.js";
 
-/** Lists whom a VM tells in each round: as a relay all its failure domain and the others' relays, else its own relays. */
+/**
+ * Lists who gets a beacon in each round: from a relay, its failure domain and the relays of the others; else its own
+ * relays.
+ */
 export function usualTargets(members: Members, now: Millis): readonly BeaconTarget[] {
     const own = members.failureDomain;
     const relays = relaysOf(members, own, now);
     const isRelay = relays.includes(members.vm);
     const leaves = [...members.known.values()]
-        .filter(member => member.failureDomain === own && isLiving(member, now) && !relays.includes(member.vm))
+        .filter(member => member.failureDomain === own && isAlive(member, now) && !relays.includes(member.vm))
         .map(({ vm }) => ({ vm, scope: "fleet" as const }));
     const others = domainsOf(members)
         .filter(domain => domain !== own)
