--- a/packages/endpoint/src/__tests__/unit/FairQueue.test.ts
+++ b/packages/endpoint/src/__tests__/unit/FairQueue.test.ts
@@ -37,25 +37,25 @@
     { name: "deadline", items: [item("a", "x"), item("a", "y", { deadline: 5 })], first: "y" },
     { name: "priority", items: [item("a", "x", { deadline: 5 }), item("a", "y", { priority: 0 })], first: "y" },
 ].forEach(({ name, items, first }) =>
-    test(`queue: within an organisation ${name} decides`, t => {
+    test(`queue: ${name} decides the order within an organisation`, t => {
         t.is(drain(queueOf(items), 1)[0]?.id as string, first);
     })
 );
 
-test("queue: an organisation that floods the queue waits behind itself only", t => {
-    // One organisation sends many times its rate, and the others' requests wait behind all of its work.
+test("queue: an organisation that floods the queue delays only itself", t => {
+    // One organisation sends many times its rate, and requests of the others wait behind all of its work.
     const taken = drain(queueOf([...many("loud", 50), item("quiet", "q1", { arrivedAt: 99 })]), 3);
     t.true(taken.some(each => each.organisation === "quiet"));
 });
 
-test("queue: an organisation that was idle gets no credit for it", t => {
+test("queue: an idle organisation gets no credit for its idle time", t => {
     const busy = queueOf(many("a", 40));
     const after = Array.from({ length: 20 }).reduce<FairQueue>(queue => takeNext(queue, () => true).queue, busy);
     const taken = drain(many("b", 20).reduce(enqueue, after), 20);
     t.true(Math.abs(countOf(taken, "a") - countOf(taken, "b")) <= 1);
 });
 
-test("queue: work is shared by weight, whatever the sizes of requests", t => {
+test("queue: work is shared by weight for any sizes of requests", t => {
     fc.assert(
         fc.property(
             fc.integer({ min: 1, max: 5 }),
@@ -73,24 +73,24 @@
     );
 });
 
-test("queue: a lane that cannot start does not hold up the others", t => {
+test("queue: a request that cannot start does not block other lanes", t => {
     const queue = queueOf([item("a", "x"), item("b", "y")]);
     t.is(takeNext(queue, each => each.id !== "x").item?.id as string, "y");
     t.is(takeNext(queue, () => false).item, undefined);
 });
 
-test("queue: a request that cannot start does not hold up its own organisation either", t => {
+test("queue: a request that cannot start does not block its own lane", t => {
     const queue = queueOf([item("a", "x"), item("a", "y", { arrivedAt: 1 })]);
     t.is(takeNext(queue, each => each.id !== "x").item?.id as string, "y");
 });
 
-test("queue: forgets organisations without work", t => {
+test("queue: lanes without work are dropped", t => {
     const queue = queueOf([item("a", "x"), item("b", "y")]);
     const empty = [1, 2].reduce<FairQueue>(left => takeNext(left, () => true).queue, queue);
     t.is(empty.lanes.size, 0);
 });
 
-test("queue: removed requests are gone and empty lanes with them", t => {
+test("queue: removing the last request of a lane removes the lane", t => {
     const queue = removeWhere(queueOf([item("a", "x"), item("b", "y")]), each => each.id === "x");
     t.deepEqual([...queue.lanes.keys()] as string[], ["b"]);
 });
@@ -98,9 +98,13 @@
 [
     { name: "an empty queue", items: [], before: 0 },
     { name: "own earlier work", items: many("a", 3), before: 300 },
-    { name: "own work of lower priority left out", items: many("a", 3, { priority: 9 }), before: 0 },
-    { name: "others' work up to the own share", items: [...many("a", 2), ...many("b", 9)], before: 400 },
-    { name: "others' work when there is little of it", items: [...many("a", 2), ...many("b", 1)], before: 300 },
+    { name: "own work of lower priority is ignored", items: many("a", 3, { priority: 9 }), before: 0 },
+    { name: "work of others up to the own share", items: [...many("a", 2), ...many("b", 9)], before: 400 },
+    {
+        name: "all work of others if it is less than the own share",
+        items: [...many("a", 2), ...many("b", 1)],
+        before: 300,
+    },
 ].forEach(({ name, items, before }) =>
     test(`queue: work before a request: ${name}`, t => {
         t.is(workBefore(queueOf(items), item("a", "new", { arrivedAt: 99 })), before);
@@ -109,9 +113,16 @@
 
 [
     { name: "in time", left: 100, queueWait: 50, endpointWait: 50, kind: undefined, retry: undefined },
-    { name: "too much before it", left: 100, queueWait: 5_000, endpointWait: 50, kind: "overloaded", retry: 5 },
-    { name: "hopeless", left: 100, queueWait: 1e9, endpointWait: 0, kind: "overloaded", retry: 60 },
-    { name: "deadline over", left: 0, queueWait: 0, endpointWait: 0, kind: "deadline-exceeded", retry: 1 },
+    { name: "wait beyond the deadline", left: 100, queueWait: 5_000, endpointWait: 50, kind: "overloaded", retry: 5 },
+    {
+        name: "wait far beyond the deadline: Retry-After is capped",
+        left: 100,
+        queueWait: 1e9,
+        endpointWait: 0,
+        kind: "overloaded",
+        retry: 60,
+    },
+    { name: "deadline passed", left: 0, queueWait: 0, endpointWait: 0, kind: "deadline-exceeded", retry: 1 },
 ].forEach(({ name, left, queueWait, endpointWait, kind, retry }) =>
     test(`refusal: ${name}`, t => {
         const refusal = refusalFor({ now: 1_000, deadline: 1_000 + left, queueWait, endpointWait });
--- a/packages/endpoint/src/__tests__/unit/PrefixIndex.test.ts
+++ b/packages/endpoint/src/__tests__/unit/PrefixIndex.test.ts
@@ -9,32 +9,37 @@
 const SEED = 20_261_202;
 const PIECES = 12;
 const ENGINE = EndpointName.parse("engine-1");
-const RUNS = ["run-a", "run-b", "run-c"].map(run => Incarnation.parse(run));
+const INCARNATIONS = ["run-a", "run-b", "run-c"].map(run => Incarnation.parse(run));
 const piece = (n: number) => PieceHash.parse(n.toString(16).padStart(32, "0"));
-const event = (seq: number, kind: CacheEvent["kind"], numbers: number[], run = RUNS[0]!): CacheEvent => ({
-    incarnation: run,
+const event = (
+    seq: number,
+    kind: CacheEvent["kind"],
+    numbers: number[],
+    current = INCARNATIONS[0]!,
+): CacheEvent => ({
+    incarnation: current,
     seq,
     kind,
     hashes: numbers.map(piece),
 });
-const held = (index: PrefixIndex, now = 0) =>
+const heldPieces = (index: PrefixIndex, now = 0) =>
     Array.from({ length: PIECES }, (_, n) => n).filter(n => index.match([piece(n)], [ENGINE], now)[0] === 1);
-const started = (run = RUNS[0]!) => {
+const started = (current = INCARNATIONS[0]!) => {
     const index = new PrefixIndex();
-    index.begin(ENGINE, run);
-    index.resync(ENGINE, { incarnation: run, seq: 0, hashes: [] });
+    index.begin(ENGINE, current);
+    index.resync(ENGINE, { incarnation: current, seq: 0, hashes: [] });
     return index;
 };
 
 test("index: late events of a crashed engine never match again", t => {
-    // Events of a crashed engine's former run come late, and its prefixes pass for held.
+    // Events of a crashed engine's previous incarnation arrive late, and its prefixes are taken for cached.
     const index = started();
     index.apply(ENGINE, event(1, "stored", [1, 2]));
-    index.begin(ENGINE, RUNS[1]!);
+    index.begin(ENGINE, INCARNATIONS[1]!);
     t.is(index.apply(ENGINE, event(2, "stored", [3])), "other-incarnation");
-    index.assume(ENGINE, RUNS[0]!, [piece(4)], Infinity);
-    t.false(index.resync(ENGINE, { incarnation: RUNS[0]!, seq: 9, hashes: [piece(5)] }));
-    t.deepEqual(held(index), []);
+    index.assume(ENGINE, INCARNATIONS[0]!, [piece(4)], Infinity);
+    t.false(index.resync(ENGINE, { incarnation: INCARNATIONS[0]!, seq: 9, hashes: [piece(5)] }));
+    t.deepEqual(heldPieces(index), []);
 });
 
 [
@@ -46,17 +51,17 @@
     test(`index: events ${name}`, t => {
         const index = started();
         t.is(events.map(each => index.apply(ENGINE, each)).at(-1) as string, outcome);
-        t.deepEqual(held(index), holds);
+        t.deepEqual(heldPieces(index), holds);
         t.is(index.isDoubtful(ENGINE), outcome === "gap");
     })
 );
 
-test("index: an assumed piece counts until it expires, a confirmed one for good", t => {
+test("index: an assumed piece matches until it expires, a confirmed one without limit", t => {
     const index = started();
-    index.assume(ENGINE, RUNS[0]!, [piece(1), piece(2)], 100);
+    index.assume(ENGINE, INCARNATIONS[0]!, [piece(1), piece(2)], 100);
     index.apply(ENGINE, event(1, "stored", [2]));
-    t.deepEqual(held(index, 99), [1, 2]);
-    t.deepEqual(held(index, 100), [2]);
+    t.deepEqual(heldPieces(index, 99), [1, 2]);
+    t.deepEqual(heldPieces(index, 100), [2]);
     index.sweep(100);
     t.is(index.size, 1);
 });
@@ -67,7 +72,7 @@
     t.deepEqual(index.match([1, 2, 3, 4].map(piece), [ENGINE], 0), [2]);
 });
 
-/** What the test does to the index and to the oracle. */
+/** Operations on the index and on the modelled engine. */
 const steps = fc.array(
     fc.oneof(
         { weight: 6, arbitrary: fc.record({ do: fc.constant("change" as const), lost: fc.boolean(), n: fc.nat(5) }) },
@@ -79,17 +84,17 @@
     { maxLength: 60 },
 );
 
-test("index: equals the engine's cache whenever it is not doubtful, whatever is lost, late or repeated", t => {
+test("index: equals the engine's cache unless it needs a resync, with events lost, late or repeated", t => {
     fc.assert(
         fc.property(steps, fc.array(fc.nat(PIECES - 1), { minLength: 60, maxLength: 60 }), (plan, numbers) => {
             const index = started();
-            const engine = { run: 0, seq: 0, cache: new Set<number>() };
-            // What the engine's current run held after each of its events.
+            const engine = { incarnation: 0, seq: 0, cache: new Set<number>() };
+            // What the engine's current incarnation held after each of its events.
             let heldAfter: number[][] = [[]];
             const seen: CacheEvent[] = [];
-            let snapshot = { incarnation: RUNS[0]!, seq: 0, hashes: [] as PieceHash[] };
+            let snapshot = { incarnation: INCARNATIONS[0]!, seq: 0, hashes: [] as PieceHash[] };
             const takeSnapshot = () => ({
-                incarnation: RUNS[engine.run]!,
+                incarnation: INCARNATIONS[engine.incarnation]!,
                 seq: engine.seq,
                 hashes: [...engine.cache].map(piece),
             });
@@ -108,7 +113,12 @@
                         else {
                             engine.cache.add(number);
                         }
-                        const change = event(engine.seq, kind, kind === "cleared" ? [] : [number], RUNS[engine.run]);
+                        const change = event(
+                            engine.seq,
+                            kind,
+                            kind === "cleared" ? [] : [number],
+                            INCARNATIONS[engine.incarnation],
+                        );
                         seen.push(change);
                         heldAfter.push([...engine.cache].sort((a, b) => a - b));
                         if (!each.lost) {
@@ -123,27 +133,27 @@
                         index.resync(ENGINE, snapshot);
                         break;
                     case "crash":
-                        if (engine.run < RUNS.length - 1) {
-                            engine.run++;
+                        if (engine.incarnation < INCARNATIONS.length - 1) {
+                            engine.incarnation++;
                             engine.seq = 0;
                             engine.cache.clear();
                             heldAfter = [[]];
-                            index.begin(ENGINE, RUNS[engine.run]!);
+                            index.begin(ENGINE, INCARNATIONS[engine.incarnation]!);
                         }
                         break;
                     case "replay":
-                        seen.filter(old => old.incarnation !== RUNS[engine.run]).forEach(old =>
+                        seen.filter(old => old.incarnation !== INCARNATIONS[engine.incarnation]).forEach(old =>
                             index.apply(ENGINE, old)
                         );
                         break;
                 }
                 if (!index.isDoubtful(ENGINE)) {
-                    t.deepEqual(held(index), heldAfter[index.seqOf(ENGINE)]);
+                    t.deepEqual(heldPieces(index), heldAfter[index.seqOf(ENGINE)]);
                 }
             });
             index.resync(ENGINE, takeSnapshot());
             t.false(index.isDoubtful(ENGINE));
-            t.deepEqual(held(index), [...engine.cache].sort((a, b) => a - b));
+            t.deepEqual(heldPieces(index), [...engine.cache].sort((a, b) => a - b));
         }),
         { seed: SEED, numRuns: 300 },
     );
@@ -156,7 +166,7 @@
     t.true(index.bytes < 8 * 1_048_576, `${index.bytes} bytes`);
 });
 
-test("index: removed rows are reused rather than piling up", t => {
+test("index: removed rows are reused", t => {
     const index = started();
     Array.from({ length: 20_000 }, (_, n) => n).forEach(n => {
         index.apply(ENGINE, event(2 * n + 1, "stored", [n]));
@@ -166,7 +176,7 @@
     t.true(index.bytes <= 26 * 1_024);
 });
 
-test("index: the first pieces share the partitions out", t => {
+test("index: first pieces are spread evenly over the partitions", t => {
     const firstPieces = Array.from(
         { length: 4_000 },
         (_, n) => PieceHash.parse(n.toString(16).padStart(8, "0").padEnd(32, "0")),
--- a/packages/endpoint/src/__tests__/unit/candidatesOf.test.ts
+++ b/packages/endpoint/src/__tests__/unit/candidatesOf.test.ts
@@ -21,11 +21,23 @@
     });
 
 [
-    { name: "computes what it lacks", matched: [0, 4], confirmed: [0, 4], fetchMs: undefined, total: 4 * MS_PER_PIECE },
-    { name: "fetches what is quicker to fetch", matched: [0, 4], confirmed: [0, 3], fetchMs: 10, total: 80 },
-    { name: "fetches only what it lacks", matched: [2, 4], confirmed: [2, 4], fetchMs: 10, total: 20.05 },
-    { name: "computes what is slower to fetch", matched: [0, 4], confirmed: [0, 4], fetchMs: 90, total: 200 },
-    { name: "fetches nothing that is only assumed", matched: [0, 4], confirmed: [0, 0], fetchMs: 10, total: 200 },
+    {
+        name: "computes missing pieces if fetching is not possible",
+        matched: [0, 4],
+        confirmed: [0, 4],
+        fetchMs: undefined,
+        total: 4 * MS_PER_PIECE,
+    },
+    { name: "fetches missing pieces if that is faster", matched: [0, 4], confirmed: [0, 3], fetchMs: 10, total: 80 },
+    { name: "fetches only missing pieces", matched: [2, 4], confirmed: [2, 4], fetchMs: 10, total: 20.05 },
+    { name: "computes missing pieces if that is faster", matched: [0, 4], confirmed: [0, 4], fetchMs: 90, total: 200 },
+    {
+        name: "does not fetch pieces that are only assumed",
+        matched: [0, 4],
+        confirmed: [0, 0],
+        fetchMs: 10,
+        total: 200,
+    },
 ].forEach(({ name, matched, confirmed, fetchMs, total }) =>
     test(`candidates: an endpoint ${name}`, t => {
         t.is(candidates(matched, confirmed, fetchMs)[0]?.estimate.total, total);
--- a/packages/endpoint/src/__tests__/unit/policies.test.ts
+++ b/packages/endpoint/src/__tests__/unit/policies.test.ts
@@ -16,7 +16,7 @@
 const request = (pieces: number[], turn = 0, random = 0.5) => ({ pieces: pieces.map(piece), turn, random });
 
 (["azureshunt", "prefix-affinity", "least-loaded", "round-robin"] as const).forEach(name =>
-    test(`policy ${name}: no candidate, no choice; one candidate, that one`, t => {
+    test(`policy ${name}: chooses nothing without candidates and the only candidate otherwise`, t => {
         t.is(policyOf(name)(request([1]), []), undefined);
         const only = candidate("a", 5);
         t.is(policyOf(name)(request([1]), [only]), only);
@@ -24,26 +24,34 @@
 );
 
 [
-    { name: "the lowest estimate", candidates: [candidate("a", 100), candidate("b", 50)], chosen: "b" },
-    { name: "load before a prefix", candidates: [candidate("a", 340, 3), candidate("b", 250, 0)], chosen: "b" },
+    { name: "chooses the lowest estimate", candidates: [candidate("a", 100), candidate("b", 50)], chosen: "b" },
     {
-        name: "a cached prefix before a little load",
+        name: "prefers a much lower load to a cached prefix",
+        candidates: [candidate("a", 340, 3), candidate("b", 250, 0)],
+        chosen: "b",
+    },
+    {
+        name: "prefers a cached prefix to a slightly lower load",
         candidates: [candidate("a", 330, 3), candidate("b", 250)],
         chosen: "a",
     },
-    { name: "of equals the longer prefix", candidates: [candidate("a", 100, 1), candidate("b", 101, 2)], chosen: "b" },
     {
-        name: "for a new prefix, of nearly equals the one with fewer requests",
+        name: "chooses the longer prefix among equal estimates",
+        candidates: [candidate("a", 100, 1), candidate("b", 101, 2)],
+        chosen: "b",
+    },
+    {
+        name: "for a new prefix, chooses fewer requests among nearly equal estimates",
         candidates: [candidate("a", 100, 1, 6), candidate("b", 130, 0, 0)],
         chosen: "b",
     },
     {
-        name: "for a new prefix, not one that is much slower",
+        name: "for a new prefix, does not choose a much slower endpoint",
         candidates: [candidate("a", 100, 1, 6), candidate("b", 140, 0, 0)],
         chosen: "a",
     },
     {
-        name: "for a cached prompt, the holder although it has more requests",
+        name: "for a cached prompt, chooses the holder although it has more requests",
         candidates: [candidate("a", 20, 3, 6), candidate("b", 21, 2, 0)],
         chosen: "a",
     },
@@ -63,13 +71,13 @@
     NAMES.forEach(name => t.true(chosen.filter(each => each === name).length > 25, name));
 });
 
-test("azureshunt: a prompt cached whole on several endpoints is spread over them", t => {
+test("azureshunt: a prompt cached completely on several endpoints is spread over them", t => {
     const holders = NAMES.map(name => candidate(name, 10, 2));
     const chosen = Array.from({ length: 100 }, (_, n) => policyOf("azureshunt")(request([1, 2], n, n / 100), holders));
     NAMES.forEach(name => t.true(chosen.filter(each => each?.endpoint === name).length > 10, name));
 });
 
-test("prefix-affinity: keeps to one endpoint until it has more than its bound", t => {
+test("prefix-affinity: stays with one endpoint until its load reaches the bound", t => {
     const affinity = policyOf("prefix-affinity");
     const idle = NAMES.map(name => candidate(name, 0));
     const first = affinity(request([7]), idle)!;
--- a/packages/endpoint/src/__tests__/unit/stepEndpoint.test.ts
+++ b/packages/endpoint/src/__tests__/unit/stepEndpoint.test.ts
@@ -20,8 +20,8 @@
 
 type Timed = { readonly at: number; readonly event: EndpointEvent; };
 
-const RUN_A = Incarnation.parse("run-a");
-const RUN_B = Incarnation.parse("run-b");
+const INCARNATION_A = Incarnation.parse("run-a");
+const INCARNATION_B = Incarnation.parse("run-b");
 const MODEL = ModelName.parse("advisor");
 const V1 = WeightsVersion.parse("v1");
 const V2 = WeightsVersion.parse("v2");
@@ -33,7 +33,7 @@
 
 const run = (state: EndpointState, events: readonly Timed[]) =>
     events.reduce((current, { at, event }) => stepEndpoint(current, event, at).state, state);
-const state = (at: number, incarnation = RUN_A, askedAt = at, ready = true): Timed => ({
+const state = (at: number, incarnation = INCARNATION_A, askedAt = at, ready = true): Timed => ({
     at,
     event: { kind: "state-reported", incarnation, ready, holds: HELD, askedAt },
 });
@@ -41,7 +41,7 @@
     at,
     event: {
         kind: "load-reported",
-        report: { incarnation: RUN_A, running, waiting, waitingTokens, measuredAt },
+        report: { incarnation: INCARNATION_A, running, waiting, waitingTokens, measuredAt },
         askedAt: at,
     },
 });
@@ -49,7 +49,7 @@
     at,
     event: { kind: "dispatched", dispatchId: DispatchId.parse(id), prefillTokens, backlogTokens },
 });
-const accept = (at: number, id: string, incarnation = RUN_A, prefillTokens?: number): Timed => ({
+const accept = (at: number, id: string, incarnation = INCARNATION_A, prefillTokens?: number): Timed => ({
     at,
     event: { kind: "accepted", dispatchId: DispatchId.parse(id), incarnation, prefillTokens },
 });
@@ -72,17 +72,25 @@
 });
 
 [
-    { name: "never heard of", events: [], eligible: false },
+    { name: "nothing known", events: [], eligible: false },
     { name: "ready", events: [state(0)], eligible: true },
-    { name: "not ready", events: [state(0, RUN_A, 0, false)], eligible: false },
+    { name: "not ready", events: [state(0, INCARNATION_A, 0, false)], eligible: false },
     { name: "leaving", events: [state(0), declared(true)], eligible: false },
-    { name: "no longer leaving", events: [state(0), declared(true), declared(false)], eligible: true },
-    { name: "died under a request", events: [state(0), dispatch(1, "d", 1), end(2, "d", "died")], eligible: false },
-    { name: "probed after", events: [state(0), dispatch(1, "d", 1), end(2, "d", "died"), state(3)], eligible: true },
+    { name: "declared as leaving and then not", events: [state(0), declared(true), declared(false)], eligible: true },
+    {
+        name: "died while running a request",
+        events: [state(0), dispatch(1, "d", 1), end(2, "d", "died")],
+        eligible: false,
+    },
+    {
+        name: "answered a probe after it died",
+        events: [state(0), dispatch(1, "d", 1), end(2, "d", "died"), state(3)],
+        eligible: true,
+    },
     { name: "refused one request", events: [state(0), dispatch(1, "d", 1), end(2, "d", "refused")], eligible: true },
-    { name: "restarted", events: [state(0), dispatch(1, "d", 1), accept(2, "d", RUN_B)], eligible: false },
+    { name: "restarted", events: [state(0), dispatch(1, "d", 1), accept(2, "d", INCARNATION_B)], eligible: false },
     {
-        name: "fails again and again while its probes succeed",
+        name: "keeps failing requests while its probes succeed",
         events: [
             state(0),
             ...[1_000, 2_000, 3_000].flatMap(at => [dispatch(at, `d${at}`, 1), end(at, `d${at}`, "died")]),
@@ -91,7 +99,7 @@
         eligible: false,
     },
     {
-        name: "left alone long enough after repeated failures",
+        name: "backoff over after repeated failures",
         events: [
             state(0),
             ...[1_000, 2_000, 3_000].flatMap(at => [dispatch(at, `d${at}`, 1), end(at, `d${at}`, "died")]),
@@ -100,7 +108,7 @@
         eligible: true,
     },
     {
-        name: "one crash that broke several streams",
+        name: "one crash that broke several streams counts once",
         events: [state(0), ...["a", "b", "c"].flatMap(id => [dispatch(1, id, 1), end(2, id, "died")]), state(3)],
         eligible: true,
     },
@@ -112,59 +120,59 @@
 );
 
 [
-    { name: "older weights", wanted: { ...WANTED, version: V2 } },
+    { name: "other weights", wanted: { ...WANTED, version: V2 } },
     { name: "another adapter", wanted: { ...WANTED, adapter: AdapterName.parse("tags") } },
 ].forEach(({ name, wanted }) =>
-    test(`eligible: not for ${name} than it holds`, t => {
+    test(`not eligible: request for ${name} than the endpoint holds`, t => {
         t.false(isEligible(run(FRESH, [state(0)]), wanted));
     })
 );
 
-test("run: a late answer of the former run does not bring it back", t => {
-    // An answer of a dead run comes last, and entries of that run match again.
-    const restarted = run(FRESH, [state(0), state(20, RUN_B, 15)]);
-    const late = stepEndpoint(restarted, state(30, RUN_A, 5).event, 30);
-    t.is(late.state.incarnation, RUN_B);
+test("incarnation: a late answer of the previous incarnation does not restore it", t => {
+    // A late answer restores a dead incarnation, and entries of that incarnation match again.
+    const restarted = run(FRESH, [state(0), state(20, INCARNATION_B, 15)]);
+    const late = stepEndpoint(restarted, state(30, INCARNATION_A, 5).event, 30);
+    t.is(late.state.incarnation, INCARNATION_B);
     t.deepEqual(late.effects, []);
 });
 
-test("run: a new run voids the cache and asks for a probe, also when a caller's answer shows it first", t => {
+test("incarnation: a new one resets the cache and triggers a probe, also if a caller's answer shows it first", t => {
     const before = run(FRESH, [state(0), dispatch(1, "d", 100)]);
-    const { effects } = stepEndpoint(before, accept(5, "d", RUN_B).event, 5);
-    t.deepEqual(effects, [{ kind: "begin-cache", incarnation: RUN_B }, { kind: "probe" }]);
+    const { effects } = stepEndpoint(before, accept(5, "d", INCARNATION_B).event, 5);
+    t.deepEqual(effects, [{ kind: "begin-cache", incarnation: INCARNATION_B }, { kind: "probe" }]);
 });
 
 [
     { name: "idle", events: [], requests: 0, tokens: 0 },
     { name: "own only", events: [dispatch(10, "a", 100)], requests: 1, tokens: 100 },
     {
-        name: "own, begun",
+        name: "own, after the first token",
         events: [dispatch(10, "a", 100), start(10, "a")],
         requests: 1,
         tokens: 0,
     },
-    { name: "others only", events: [load(10, 2, 1, 300)], requests: 3, tokens: 300 },
+    { name: "other VMs only", events: [load(10, 2, 1, 300)], requests: 3, tokens: 300 },
     {
-        name: "a report that counts what this VM sent is not added to it",
+        name: "a report that includes an own dispatch does not count it twice",
         events: [dispatch(1, "a", 100), load(10, 1, 0, 100)],
         requests: 1,
         tokens: 91,
     },
     {
-        name: "a report measured before the dispatch leaves it out",
+        name: "a report measured before an own dispatch does not include it",
         events: [dispatch(8, "a", 100), load(10, 2, 0, 50, 5)],
         requests: 3,
         tokens: 143,
     },
     { name: "announced by another VM", events: [announce(10, 500)], requests: 1, tokens: 500 },
     {
-        name: "announced since the report was measured",
+        name: "announced by another VM after the report was measured",
         events: [load(9, 1, 0, 40, 5), announce(8, 100)],
         requests: 2,
         tokens: 135,
     },
     {
-        name: "announced before the report was measured, which contains it",
+        name: "announced by another VM before the report was measured, which includes it",
         events: [announce(3, 100), load(9, 1, 0, 40, 5)],
         requests: 1,
         tokens: 35,
@@ -175,13 +183,13 @@
     })
 );
 
-test("load: an old report is left out", t => {
+test("load: an old report is ignored", t => {
     t.is(loadOf(run(FRESH, [state(0), load(10, 9, 9, 900)]), 1, 5_000).requests, 0);
 });
 
 const observed = (at: number, msPerToken: number) => [
     dispatch(at, `d${at}`, 2_000),
-    accept(at + 1, `d${at}`, RUN_A, 2_000),
+    accept(at + 1, `d${at}`, INCARNATION_A, 2_000),
     start(at + 2_000 * msPerToken, `d${at}`),
     end(at + 2_000 * msPerToken, `d${at}`),
 ];
@@ -190,7 +198,7 @@
 
 [
     {
-        name: "an odd one does not move the median",
+        name: "an outlier does not change the median",
         own: seen([[0, 0.1], [300, 2], [4_400, 0.1]]),
         other: FRESH,
         rate: 0.1,
@@ -202,14 +210,14 @@
         rate: 0.2,
     },
     {
-        name: "too few own ones: those of the others",
+        name: "too few own samples: uses those of other engines",
         own: seen([[10_000, 0.1]]),
         other: seen([[8_000, 0.3], [9_000, 0.3], [10_000, 0.3]]),
         rate: 0.3,
     },
-    { name: "only old ones", own: seen([[0, 0.1]]), other: FRESH, rate: 0.1 },
+    { name: "only old samples: uses them", own: seen([[0, 0.1]]), other: FRESH, rate: 0.1 },
     {
-        name: "too few own ones: those that other VMs observed there",
+        name: "too few own samples: uses those that other VMs observed at the engine",
         own: run(
             FRESH,
             [8, 9, 10].map(second => ({
@@ -220,22 +228,26 @@
         other: FRESH,
         rate: 0.4,
     },
-    { name: "none", own: FRESH, other: FRESH, rate: 0.05 },
+    { name: "no samples: uses the default", own: FRESH, other: FRESH, rate: 0.05 },
 ].forEach(({ name, own, other, rate }) =>
     test(`rate: ${name}`, t => {
         t.is(prefillRates([own, other], 10_500)[0], rate);
     })
 );
 
-test("rate: a dispatch with much before it gives no sample", t => {
+test("rate: a dispatch with a large backlog gives no sample", t => {
     const queued = run(FRESH, [state(0), dispatch(0, "d", 2_000, 201), accept(1, "d"), start(1_001, "d")]);
     t.deepEqual(queued.prefillSamples, []);
 });
 
 [
     { name: "one report with waiting requests", reports: [[3, 1]], slots: undefined },
-    { name: "three in a row", reports: [[24, 1], [24, 2], [24, 5]], slots: 24 },
-    { name: "three with different numbers running", reports: [[3, 1], [4, 2], [2, 1]], slots: undefined },
+    { name: "three full reports in a row", reports: [[24, 1], [24, 2], [24, 5]], slots: 24 },
+    {
+        name: "three reports with different numbers of running requests",
+        reports: [[3, 1], [4, 2], [2, 1]],
+        slots: undefined,
+    },
     { name: "no longer full", reports: [[24, 1], [24, 2], [24, 5], [20, 0]], slots: undefined },
 ].forEach(({ name, reports, slots }) =>
     test(`slots: ${name}`, t => {
--- a/packages/endpoint/src/cache/CacheEvent.ts
+++ b/packages/endpoint/src/cache/CacheEvent.ts
@@ -1,9 +1,9 @@
 import type { Incarnation, PieceHash } from "@azureshunt/core";
 
-/** One change of an engine's cache, as the engine published it. */
+/** One change of an engine's cache, as published by the engine. */
 export type CacheEvent = {
     readonly incarnation: Incarnation;
-    /** By one from 1 for each incarnation. */
+    /** Counts from 1 within an incarnation, without gaps. */
     readonly seq: number;
     readonly kind: "stored" | "removed" | "cleared";
     readonly hashes: readonly PieceHash[];
--- a/packages/endpoint/src/cache/CacheEventOutcome.ts
+++ b/packages/endpoint/src/cache/CacheEventOutcome.ts
@@ -1,5 +1,6 @@
 /**
- * What became of a cache event. `applied`: in order. `gap`: events before it are missing, so the endpoint's entries are
- * doubtful until a resync. `repeated`: known already. `other-incarnation`: not of the endpoint's current run; dropped.
+ * Result of applying a cache event. `applied`: in order. `gap`: applied, but earlier events are missing, so the
+ * endpoint needs a resync. `repeated`: already known. `other-incarnation`: dropped, as it is not of the endpoint's
+ * current incarnation.
  */
 export type CacheEventOutcome = "applied" | "gap" | "repeated" | "other-incarnation";
--- a/packages/endpoint/src/cache/CacheSnapshot.ts
+++ b/packages/endpoint/src/cache/CacheSnapshot.ts
@@ -1,6 +1,6 @@
 import type { Incarnation, PieceHash } from "@azureshunt/core";
 
-/** All of an engine's cache after its event number `seq`. */
+/** Complete contents of an engine's cache after its event number `seq`. */
 export type CacheSnapshot = {
     readonly incarnation: Incarnation;
     readonly seq: number;
--- a/packages/endpoint/src/cache/IndexPartition.ts
+++ b/packages/endpoint/src/cache/IndexPartition.ts
@@ -7,18 +7,18 @@
 const EMPTY = 0;
 const REMOVED = 0xffff;
 const MIN_CAPACITY = 1_024;
-/** Rows in use or removed, of all rows, at which the table is built anew. */
-const MAX_FILL = 0.6;
-/** Rows in use, of all rows, that a new table starts with. */
-const START_FILL = 0.35;
-/** A confirmed row never expires. */
+/** Fraction of rows in use or removed above which the table is rebuilt. */
+const MAX_FILL_FRACTION = 0.6;
+/** Maximum fraction of rows in use right after a rebuild. */
+const INITIAL_FILL_FRACTION = 0.35;
+/** Expiry of a confirmed row, which never expires. */
 const CONFIRMED = Infinity;
 
 const nextPowerOfTwo = (n: number): number => 2 ** Math.ceil(Math.log2(n));
 
 /**
  * One partition of a prefix index: rows of (piece hash, endpoint's slot, expiry) in an open-addressed hash table of
- * typed arrays, 26 bytes a row. A row is confirmed by the endpoint's cache event, or assumed until it expires.
+ * typed arrays, 26 bytes per row. A row is confirmed by a cache event of the endpoint, or assumed until it expires.
  */
 export class IndexPartition {
     #capacity = MIN_CAPACITY;
@@ -28,34 +28,33 @@
     #used = 0;
     #removed = 0;
 
-    /** Rows in use, expired ones that were not yet swept among them. */
+    /** Number of rows in use, including expired rows that have not been swept yet. */
     get size(): number {
         return this.#used;
     }
 
-    /** Bytes of the table. */
+    /** Memory of the table in bytes. */
     get bytes(): number {
         return this.#hashes.byteLength + this.#slots.byteLength + this.#expiries.byteLength;
     }
 
-    /** Whether the slot's endpoint holds the piece, as far as is known now. */
+    /** Returns whether the slot's endpoint is known or assumed to hold the piece. */
     has(hash: HashWords, slot: SlotNumber, now: Millis): boolean {
         const row = this.#find(hash, slot);
         return row !== undefined && this.#expiries[row]! > now;
     }
 
-    /** Notes that the endpoint said it holds the piece. */
+    /** Records that the endpoint reported that it holds the piece. */
     confirm(hash: HashWords, slot: SlotNumber): void {
         this.#put(hash, slot, CONFIRMED);
     }
 
-    /** Notes that the endpoint will soon hold the piece; a confirmed row stays confirmed. */
+    /** Records that the endpoint will soon hold the piece; a confirmed row stays confirmed. */
     assume(hash: HashWords, slot: SlotNumber, expiresAt: Millis): void {
         const row = this.#find(hash, slot);
         this.#put(hash, slot, row === undefined ? expiresAt : Math.max(expiresAt, this.#expiries[row]!));
     }
 
-    /** Removes one row. */
     remove(hash: HashWords, slot: SlotNumber): void {
         const row = this.#find(hash, slot);
         if (row !== undefined) {
@@ -63,12 +62,12 @@
         }
     }
 
-    /** Removes the slot's confirmed rows, and its assumed ones too unless they are to be kept. */
+    /** Removes the slot's confirmed rows, and unless `keepAssumed` is set its assumed rows too. */
     removeSlot(slot: SlotNumber, keepAssumed: boolean): void {
         this.#dropWhere(row => this.#slots[row] === slot && !(keepAssumed && this.#expiries[row]! !== CONFIRMED));
     }
 
-    /** Removes the rows that have expired. */
+    /** Removes expired rows. */
     sweep(now: Millis): void {
         this.#dropWhere(row => this.#expiries[row]! <= now);
     }
@@ -98,7 +97,7 @@
             && hashes[at + 3] === hash[3];
     }
 
-    /** Rows of one hash but different slots start apart, so that a very hot piece makes no long run of rows. */
+    /** Spreads rows of the same hash by slot, so that a piece held by many endpoints causes no long probe sequence. */
     #startOf(hash: HashWords, slot: SlotNumber): number {
         return (hash[3] ^ Math.imul(slot, 0x9e3779b1)) & (this.#capacity - 1);
     }
@@ -119,7 +118,7 @@
             this.#expiries[known] = expiresAt;
             return;
         }
-        if (this.#used + this.#removed + 1 > this.#capacity * MAX_FILL) {
+        if (this.#used + this.#removed + 1 > this.#capacity * MAX_FILL_FRACTION) {
             this.#rebuild();
         }
         this.#write(hash, slot, expiresAt);
@@ -142,7 +141,7 @@
 
     #rebuild(): void {
         const { hashes, slots, expiries } = { hashes: this.#hashes, slots: this.#slots, expiries: this.#expiries };
-        this.#capacity = Math.max(MIN_CAPACITY, nextPowerOfTwo((this.#used + 1) / START_FILL));
+        this.#capacity = Math.max(MIN_CAPACITY, nextPowerOfTwo((this.#used + 1) / INITIAL_FILL_FRACTION));
         this.#hashes = new Uint32Array(this.#capacity * WORDS);
         this.#slots = new Uint16Array(this.#capacity);
         this.#expiries = new Float64Array(this.#capacity);
--- a/packages/endpoint/src/cache/PrefixIndex.ts
+++ b/packages/endpoint/src/cache/PrefixIndex.ts
@@ -10,136 +10,143 @@
 import { wordsOfHash } from "./wordsOfHash.js";
 
 const MAX_SLOT = 0xfffe;
-/** Events kept for a resync; when there are more, the next resync is followed by another one. */
-const MAX_PENDING = 1_024;
+/** Maximum number of events kept for a resync; if more arrive, the next resync fails and must be repeated. */
+const MAX_PENDING_EVENTS = 1_024;
 
-/** One run of one endpoint. */
-type Run = {
+/** What is known of the cache of an endpoint's current incarnation. */
+type CachedIncarnation = {
     readonly slot: SlotNumber;
     readonly incarnation: Incarnation;
-    /** Number of the last event known. */
+    /** Number of the last known event. */
     seq: number;
-    /** Whether events were lost since the last resync. */
-    doubtful: boolean;
-    /** Events that came while doubtful, to be applied after the snapshot. */
+    /** Whether events may have been lost since the last resync. */
+    needsResync: boolean;
+    /** Events received while a resync is needed, to be applied after its snapshot. */
     pending: CacheEvent[];
 };
 
 /**
- * Which endpoints hold which pieces of prompts.
+ * Index of the pieces of prompts that each endpoint holds.
  *
- * Entries belong to one run of an endpoint. Guard against entries of a dead engine: an engine that crashed comes back
- * on the same address with an empty cache, while events from before the crash still arrive. Entries of the former run
- * sit under a slot that is never looked up again, and late events carry the former incarnation and are dropped.
+ * After a crash, an engine comes back on the same address with an empty cache while events from before the crash still
+ * arrive. To prevent matches with entries of the dead engine, every entry belongs to one incarnation of an endpoint:
+ * entries of the previous incarnation are under another slot, which is no longer looked up, and late events carry the
+ * previous incarnation and are dropped.
  */
 export class PrefixIndex {
     readonly #partition = new IndexPartition();
-    readonly #runs = new Map<EndpointName, Run>();
+    readonly #current = new Map<EndpointName, CachedIncarnation>();
     readonly #freeSlots: SlotNumber[] = [];
     #nextSlot = 1;
 
-    /** Rows in use. */
+    /** Number of rows in use. */
     get size(): number {
         return this.#partition.size;
     }
 
-    /** Bytes of the table. */
+    /** Memory of the table in bytes. */
     get bytes(): number {
         return this.#partition.bytes;
     }
 
-    /** Starts a run of an endpoint with an empty cache; all entries of an earlier run are gone. */
+    /** Starts an incarnation of an endpoint with an empty cache and removes all entries of the previous one. */
     begin(endpoint: EndpointName, incarnation: Incarnation): void {
-        if (this.#runs.get(endpoint)?.incarnation === incarnation) {
+        if (this.#current.get(endpoint)?.incarnation === incarnation) {
             return;
         }
         this.forget(endpoint);
-        this.#runs.set(endpoint, { slot: this.#takeSlot(), incarnation, seq: 0, doubtful: true, pending: [] });
+        this.#current.set(endpoint, {
+            slot: this.#allocateSlot(),
+            incarnation,
+            seq: 0,
+            needsResync: true,
+            pending: [],
+        });
     }
 
-    /** Drops an endpoint and all its entries. */
+    /** Removes an endpoint and all its entries. */
     forget(endpoint: EndpointName): void {
-        const run = this.#runs.get(endpoint);
-        if (run !== undefined) {
-            this.#partition.removeSlot(run.slot, false);
-            this.#runs.delete(endpoint);
-            this.#freeSlots.push(run.slot);
+        const current = this.#current.get(endpoint);
+        if (current !== undefined) {
+            this.#partition.removeSlot(current.slot, false);
+            this.#current.delete(endpoint);
+            this.#freeSlots.push(current.slot);
         }
     }
 
-    /** Applies one cache event. A `gap` asks the caller for a resync. */
+    /** Applies one cache event. After a `gap`, the caller must resync the endpoint. */
     apply(endpoint: EndpointName, event: CacheEvent): CacheEventOutcome {
-        const run = this.#runs.get(endpoint);
-        if (run === undefined || run.incarnation !== event.incarnation) {
+        const current = this.#current.get(endpoint);
+        if (current === undefined || current.incarnation !== event.incarnation) {
             return "other-incarnation";
         }
-        if (event.seq <= run.seq) {
+        if (event.seq <= current.seq) {
             return "repeated";
         }
-        const isNext = event.seq === run.seq + 1;
-        run.doubtful ||= !isNext;
-        run.seq = event.seq;
-        if (run.doubtful) {
-            run.pending = [...run.pending, event].slice(-MAX_PENDING);
+        const isNext = event.seq === current.seq + 1;
+        current.needsResync ||= !isNext;
+        current.seq = event.seq;
+        if (current.needsResync) {
+            current.pending = [...current.pending, event].slice(-MAX_PENDING_EVENTS);
         }
-        this.#change(run.slot, event);
+        this.#applyChange(current.slot, event);
         return isNext ? "applied" : "gap";
     }
 
     /**
-     * Replaces an endpoint's confirmed entries by a snapshot and applies the events that came after it.
+     * Replaces an endpoint's confirmed entries with a snapshot and applies the later events.
      *
-     * @returns whether the entries are trustworthy now; when not, events after the snapshot were lost
+     * @returns whether the entries are valid now; if not, the incarnation differs or events since the snapshot are lost
      */
     resync(endpoint: EndpointName, snapshot: CacheSnapshot): boolean {
-        const run = this.#runs.get(endpoint);
-        if (run === undefined || run.incarnation !== snapshot.incarnation) {
+        const current = this.#current.get(endpoint);
+        if (current === undefined || current.incarnation !== snapshot.incarnation) {
             return false;
         }
-        const later = run.pending.filter(event => event.seq > snapshot.seq);
-        // A snapshot older than what is applied already, with the events between not at hand, would turn time back.
-        const bridged = later.every((event, i) => event.seq === snapshot.seq + 1 + i);
-        const reaches = snapshot.seq + later.length >= run.seq;
-        if (!bridged || !reaches) {
+        const laterEvents = current.pending.filter(event => event.seq > snapshot.seq);
+        // Applying a snapshot without all later events up to the newest known one would restore an older state.
+        const isContiguous = laterEvents.every((event, i) => event.seq === snapshot.seq + 1 + i);
+        const isUpToDate = snapshot.seq + laterEvents.length >= current.seq;
+        if (!isContiguous || !isUpToDate) {
             return false;
         }
-        this.#partition.removeSlot(run.slot, true);
-        snapshot.hashes.forEach(hash => this.#partition.confirm(wordsOfHash(hash), run.slot));
-        later.forEach(event => this.#change(run.slot, event));
-        run.seq = snapshot.seq + later.length;
-        run.doubtful = false;
-        run.pending = [];
+        this.#partition.removeSlot(current.slot, true);
+        snapshot.hashes.forEach(hash => this.#partition.confirm(wordsOfHash(hash), current.slot));
+        laterEvents.forEach(event => this.#applyChange(current.slot, event));
+        current.seq = snapshot.seq + laterEvents.length;
+        current.needsResync = false;
+        current.pending = [];
         return true;
     }
 
-    /** Marks an endpoint's entries doubtful, as after a broken event stream. */
-    doubt(endpoint: EndpointName): void {
-        const run = this.#runs.get(endpoint);
-        if (run !== undefined) {
-            run.doubtful = true;
+    /** Marks an endpoint as needing a resync, for example after its event stream broke. */
+    requireResync(endpoint: EndpointName): void {
+        const current = this.#current.get(endpoint);
+        if (current !== undefined) {
+            current.needsResync = true;
         }
     }
 
-    /** Whether an endpoint's entries wait for a resync. */
+    /** Returns whether an endpoint needs a resync; also true for an unknown endpoint. */
     isDoubtful(endpoint: EndpointName): boolean {
-        return this.#runs.get(endpoint)?.doubtful ?? true;
+        return this.#current.get(endpoint)?.needsResync ?? true;
     }
 
-    /** The run that the endpoint's entries belong to. */
+    /** Returns the incarnation that the endpoint's entries belong to. */
     incarnationOf(endpoint: EndpointName): Incarnation | undefined {
-        return this.#runs.get(endpoint)?.incarnation;
+        return this.#current.get(endpoint)?.incarnation;
     }
 
-    /** Number of the last event known of the endpoint's run; 0 before the first. */
+    /** Returns the number of the last known event of the endpoint's incarnation; 0 before the first event. */
     seqOf(endpoint: EndpointName): number {
-        return this.#runs.get(endpoint)?.seq ?? 0;
+        return this.#current.get(endpoint)?.seq ?? 0;
     }
 
-    /** Notes that a prompt was sent to a run of an endpoint, which will hold its pieces unless it says otherwise. */
+    /** Records that a prompt was sent to an endpoint, which then holds its pieces unless its events say otherwise. */
     assume(endpoint: EndpointName, incarnation: Incarnation, pieces: readonly PieceHash[], expiresAt: Millis): void {
-        const run = this.#runs.get(endpoint);
-        if (run?.incarnation === incarnation) {
-            pieces.forEach(piece => this.#partition.assume(wordsOfHash(piece), run.slot, expiresAt));
+        const current = this.#current.get(endpoint);
+        if (current?.incarnation === incarnation) {
+            pieces.forEach(piece => this.#partition.assume(wordsOfHash(piece), current.slot, expiresAt));
         }
     }
 
@@ -147,21 +154,21 @@
      * Counts the leading pieces of a prompt that each endpoint holds.
      *
      * @param pieces the prompt's hashes, first piece first
-     * @param endpoints the endpoints asked about
-     * @returns one count an endpoint, in the order of `endpoints`
+     * @param endpoints the endpoints to match
+     * @returns one count per endpoint, in the order of `endpoints`
      */
     match(pieces: readonly PieceHash[], endpoints: readonly EndpointName[], now: Millis): readonly number[] {
         const chain = pieces.map(wordsOfHash);
-        return endpoints.map(endpoint => this.#matchOne(chain, this.#runs.get(endpoint), now));
+        return endpoints.map(endpoint => this.#matchOne(chain, this.#current.get(endpoint), now));
     }
 
-    /** Counts the leading pieces of a prompt that each endpoint itself has said it holds, as `match` does. */
+    /** Like `match`, but counts only pieces that the endpoint itself reported. */
     matchConfirmed(pieces: readonly PieceHash[], endpoints: readonly EndpointName[]): readonly number[] {
-        // Only confirmed entries outlast every time.
+        // Only confirmed entries never expire.
         return this.match(pieces, endpoints, Number.MAX_VALUE);
     }
 
-    /** Whether the endpoint itself has said that it holds all of these pieces. */
+    /** Returns whether the endpoint itself reported that it holds all of these pieces. */
     isConfirmed(pieces: readonly PieceHash[], endpoint: EndpointName): boolean {
         return this.matchConfirmed(pieces, [endpoint])[0] === pieces.length;
     }
@@ -171,15 +178,15 @@
         this.#partition.sweep(now);
     }
 
-    #matchOne(chain: readonly HashWords[], run: Run | undefined, now: Millis): number {
-        if (run === undefined) {
+    #matchOne(chain: readonly HashWords[], current: CachedIncarnation | undefined, now: Millis): number {
+        if (current === undefined) {
             return 0;
         }
-        const missing = chain.findIndex(piece => !this.#partition.has(piece, run.slot, now));
+        const missing = chain.findIndex(piece => !this.#partition.has(piece, current.slot, now));
         return missing === -1 ? chain.length : missing;
     }
 
-    #change(slot: SlotNumber, event: CacheEvent): void {
+    #applyChange(slot: SlotNumber, event: CacheEvent): void {
         switch (event.kind) {
             case "stored":
                 event.hashes.forEach(hash => this.#partition.confirm(wordsOfHash(hash), slot));
@@ -193,7 +200,7 @@
         }
     }
 
-    #takeSlot(): SlotNumber {
+    #allocateSlot(): SlotNumber {
         const slot = this.#freeSlots.shift() ?? this.#nextSlot++;
         invariant(slot <= MAX_SLOT, "EP-001", "a prefix index has at most 65,534 endpoints");
         return slot;
--- a/packages/endpoint/src/cache/SlotNumber.ts
+++ b/packages/endpoint/src/cache/SlotNumber.ts
@@ -1,2 +1,2 @@
-/** Number that a prefix index gives to one run of one endpoint. 16 bits; 0 is never given. */
+/** 16-bit number that a prefix index assigns to one incarnation of an endpoint; 0 is never assigned. */
 export type SlotNumber = number;
--- a/packages/endpoint/src/choice/candidatesOf.ts
+++ b/packages/endpoint/src/choice/candidatesOf.ts
@@ -11,22 +11,22 @@
 import { slotMsOf } from "../state/slotMsOf.js";
 import { slotsOf } from "../state/slotsOf.js";
 
-/** What candidates are made from. Numbers of pieces stand in the order of `endpoints`. */
+/** Inputs of `candidatesOf`. `matched` and `confirmed` are in the order of `endpoints`. */
 type CandidatesInput = {
-    /** Endpoints that may get the request. */
+    /** Endpoints that may run the request. */
     readonly endpoints: readonly EndpointState[];
-    /** Leading pieces of the prompt that each endpoint holds, or is expected to hold soon. */
+    /** Number of leading pieces of the prompt that each endpoint holds or is expected to hold soon. */
     readonly matched: readonly number[];
-    /** Leading pieces that each endpoint has said it holds: what others may fetch from it. */
+    /** Number of leading pieces that each endpoint reported to hold; others may fetch these from it. */
     readonly confirmed: readonly number[];
-    /** Milliseconds to fetch one piece from another endpoint; undefined when nothing is fetched. */
+    /** Time to fetch one piece from another endpoint; undefined if fetching is not possible. */
     readonly fetchMsPerPiece: Millis | undefined;
     readonly promptTokens: Tokens;
     readonly pieceTokens: Tokens;
     readonly now: Millis;
 };
 
-/** The longest confirmed match of any endpoint; undefined when nothing is fetched or no endpoint holds anything. */
+/** Returns the longest confirmed match of any endpoint; undefined if fetching is not possible or nothing matches. */
 function longestSource({ endpoints, confirmed, fetchMsPerPiece }: CandidatesInput): CacheFetch | undefined {
     const pieces = Math.max(0, ...confirmed);
     const source = endpoints[confirmed.indexOf(pieces)];
@@ -35,7 +35,7 @@
         : { from: source.name, pieces };
 }
 
-/** Estimates the time to the first token at each endpoint, with and without fetching, and keeps the quicker way. */
+/** Estimates the time to the first token at each endpoint, with and without a fetch, and keeps the lower estimate. */
 export function candidatesOf(input: CandidatesInput): readonly Candidate[] {
     const { endpoints, matched, promptTokens, pieceTokens, fetchMsPerPiece, now } = input;
     const rates = prefillRates(endpoints, now);
@@ -58,7 +58,7 @@
             });
             return { endpoint: state.name, load, matchedPieces, fetch, estimate };
         };
-        const ways = source === undefined || source.pieces <= matchedPieces ? [undefined] : [undefined, source];
-        return lowestBy(ways.map(candidateWith), each => each.estimate.total)!;
+        const options = source === undefined || source.pieces <= matchedPieces ? [undefined] : [undefined, source];
+        return lowestBy(options.map(candidateWith), each => each.estimate.total)!;
     });
 }
--- a/packages/endpoint/src/estimate/Estimate.ts
+++ b/packages/endpoint/src/estimate/Estimate.ts
@@ -1,17 +1,17 @@
 import type { Millis } from "@azureshunt/core";
 
-/** Estimated time to the first token at one endpoint, in milliseconds and by cause. */
+/** Estimated time to the first token at one endpoint, by cause. */
 export type Estimate = {
-    /** Work that the endpoint has before this request. */
+    /** Earlier work of the endpoint. */
     readonly wait: Millis;
-    /** Fetching cached pieces from elsewhere; the queue goes on meanwhile. */
+    /** Fetching cached pieces from another endpoint, in parallel with `wait`. */
     readonly fetch: Millis;
-    /** Computing the part of the prompt that is not cached. */
+    /** Prefill of the uncached part of the prompt. */
     readonly prefill: Millis;
-    /** Way there and back. */
+    /** Round trip. */
     readonly network: Millis;
-    /** Loading weights first. */
+    /** Loading of weights. */
     readonly coldStart: Millis;
-    /** All together. */
+    /** `max(wait, fetch)` plus all others. */
     readonly total: Millis;
 };
--- a/packages/endpoint/src/index.ts
+++ b/packages/endpoint/src/index.ts
@@ -1,4 +1,4 @@
-/** Health of endpoints, their cached prefixes, and the choice of an endpoint for a request. */
+/** Health and cached prefixes of endpoints, and the choice of an endpoint for a request. */
 export type { CacheEvent } from "./cache/CacheEvent.js";
 export type { CacheEventOutcome } from "./cache/CacheEventOutcome.js";
 export type { CacheSnapshot } from "./cache/CacheSnapshot.js";
--- a/packages/endpoint/src/policies/Candidate.ts
+++ b/packages/endpoint/src/policies/Candidate.ts
@@ -8,9 +8,9 @@
 export type Candidate = {
     readonly endpoint: EndpointName;
     readonly load: EndpointLoad;
-    /** Leading pieces of the prompt that it holds. */
+    /** Leading pieces of the prompt that the endpoint holds or is expected to hold soon. */
     readonly matchedPieces: number;
-    /** What it is to fetch first, where that is quicker than computing; the estimate counts it in. */
+    /** Pieces to fetch first if that is faster than computing them; included in the estimate. */
     readonly fetch: CacheFetch | undefined;
     readonly estimate: Estimate;
 };
--- a/packages/endpoint/src/policies/Policy.ts
+++ b/packages/endpoint/src/policies/Policy.ts
@@ -1,5 +1,5 @@
 import type { Candidate } from "./Candidate.js";
 import type { PolicyRequest } from "./PolicyRequest.js";
 
-/** Chooses an endpoint; undefined only when there is no candidate. Candidates come ordered by name. */
+/** Chooses an endpoint; undefined only if there are no candidates. Candidates are sorted by name. */
 export type Policy = (request: PolicyRequest, candidates: readonly Candidate[]) => Candidate | undefined;
--- a/packages/endpoint/src/policies/PolicyName.ts
+++ b/packages/endpoint/src/policies/PolicyName.ts
@@ -1,2 +1,2 @@
-/** Names of the policies, as the settings use them. */
+/** Name of a policy in the settings. */
 export type PolicyName = "azureshunt" | "prefix-affinity" | "least-loaded" | "round-robin";
--- a/packages/endpoint/src/policies/lowestBy.ts
+++ b/packages/endpoint/src/policies/lowestBy.ts
@@ -1,4 +1,4 @@
-/** Gives the first item with the lowest value; undefined when there are none. */
+/** Returns the first item with the lowest value; undefined if there are no items. */
 export function lowestBy<Item>(items: readonly Item[], valueOf: (item: Item) => number): Item | undefined {
     return items
         .map(item => ({ item, value: valueOf(item) }))
--- a/packages/endpoint/src/policies/lowestEstimate.ts
+++ b/packages/endpoint/src/policies/lowestEstimate.ts
@@ -3,45 +3,45 @@
 import type { PolicyRequest } from "./PolicyRequest.js";
 import { rendezvousWeight } from "./rendezvousWeight.js";
 
-/** Milliseconds within which estimates count as equal. */
+/** Difference within which estimates count as equal. */
 const TOLERANCE_MS = 2;
-/** Part of the lowest estimate within which estimates of a prompt that is cached count as equal. */
-const TOLERANCE_PART = 0.1;
+/** Fraction of the lowest estimate within which estimates count as equal, for a cached prompt. */
+const TOLERANCE_FRACTION = 0.1;
 /**
- * The same for a prompt of which pieces must be computed. Where they are computed they will be cached, and draw later
- * requests: a little time now buys a better spread of that load.
+ * Like `TOLERANCE_FRACTION`, for a prompt with pieces to compute. The endpoint that computes them caches them and then
+ * attracts later requests, so a slightly longer time now is accepted to spread that load better.
  */
-const SPREAD_PART = 0.35;
+const SPREAD_TOLERANCE_FRACTION = 0.35;
 
-const holdsWhole = (request: PolicyRequest, candidate: Candidate): boolean =>
+const holdsWholePrompt = (request: PolicyRequest, candidate: Candidate): boolean =>
     candidate.matchedPieces >= request.pieces.length;
 
-/** Candidates as good as the best one, by their estimates. */
-function closeOnes(request: PolicyRequest, candidates: readonly Candidate[]): readonly Candidate[] {
+/** Returns the candidates whose estimates count as equal to the lowest one. */
+function nearBest(request: PolicyRequest, candidates: readonly Candidate[]): readonly Candidate[] {
     const best = lowestBy(candidates, each => each.estimate.total);
     if (best === undefined) {
         return [];
     }
-    const part = holdsWhole(request, best) ? TOLERANCE_PART : SPREAD_PART;
-    const limit = best.estimate.total + Math.max(TOLERANCE_MS, best.estimate.total * part);
+    const fraction = holdsWholePrompt(request, best) ? TOLERANCE_FRACTION : SPREAD_TOLERANCE_FRACTION;
+    const limit = best.estimate.total + Math.max(TOLERANCE_MS, best.estimate.total * fraction);
     return candidates.filter(each => each.estimate.total <= limit);
 }
 
 /**
- * Ours: the lowest estimated time to the first token. Among candidates that are as good as equal, one that holds the
- * whole prompt goes first, then the one with the fewest requests. Where these are equal too, the choice follows the
- * first piece that they miss: all daemons then send a new prefix to the same endpoint, and different prefixes to
- * different ones, without asking one another.
+ * Policy `azureshunt`: chooses the lowest estimated time to the first token. Among candidates whose estimates count as
+ * equal, those that hold the whole prompt are preferred, then those with the fewest requests. If these are equal too,
+ * the first missing piece decides by rendezvous hashing: all daemons then send a new prefix to the same endpoint, and
+ * different prefixes to different endpoints, without communicating.
  */
 export function lowestEstimate(request: PolicyRequest, candidates: readonly Candidate[]): Candidate | undefined {
-    const close = closeOnes(request, candidates);
-    const whole = close.filter(each => holdsWhole(request, each));
-    const preferred = whole.length > 0 ? whole : close;
+    const close = nearBest(request, candidates);
+    const wholeHolders = close.filter(each => holdsWholePrompt(request, each));
+    const preferred = wholeHolders.length > 0 ? wholeHolders : close;
     const fewest = Math.min(...preferred.map(each => each.load.requests));
-    const equals = preferred.filter(each => each.load.requests === fewest);
-    const matched = Math.max(...equals.map(each => each.matchedPieces));
-    const longest = equals.filter(each => each.matchedPieces === matched);
-    // A prompt that is cached whole on several endpoints is spread over them by chance.
+    const leastBusy = preferred.filter(each => each.load.requests === fewest);
+    const matched = Math.max(...leastBusy.map(each => each.matchedPieces));
+    const longestMatches = leastBusy.filter(each => each.matchedPieces === matched);
+    // A prompt that several endpoints have cached completely is spread over them at random.
     const key = request.pieces[matched] ?? String(request.random);
-    return lowestBy(longest, each => -rendezvousWeight(key, each.endpoint));
+    return lowestBy(longestMatches, each => -rendezvousWeight(key, each.endpoint));
 }
--- a/packages/endpoint/src/policies/policyOf.ts
+++ b/packages/endpoint/src/policies/policyOf.ts
@@ -12,7 +12,7 @@
     "round-robin": roundRobin,
 };
 
-/** Gives the policy of a name. */
+/** Returns the policy with the given name. */
 export function policyOf(name: PolicyName): Policy {
     return POLICIES[name];
 }
--- a/packages/endpoint/src/policies/prefixAffinity.ts
+++ b/packages/endpoint/src/policies/prefixAffinity.ts
@@ -3,12 +3,12 @@
 import type { Candidate } from "./Candidate.js";
 import type { PolicyRequest } from "./PolicyRequest.js";
 
-/** An endpoint may have this times the mean load before the next one in order takes the request. */
+/** Multiple of the mean load above which the next endpoint in order gets the request. */
 const LOAD_BOUND = 1.25;
-/** Leading pieces that make the key: the parts that many requests share. */
+/** Number of leading pieces that form the key, as many requests share them. */
 const KEY_PIECES = 2;
 
-/** Baseline: rendezvous hashing of the prompt's first pieces, with a bound on each endpoint's load. */
+/** Baseline policy: rendezvous hashing of the prompt's first pieces, with a bound on each endpoint's load. */
 export function prefixAffinity(request: PolicyRequest, candidates: readonly Candidate[]): Candidate | undefined {
     const total = candidates.reduce((sum, each) => sum + each.load.requests, 0);
     const bound = Math.ceil(LOAD_BOUND * (total + 1) / candidates.length);
--- a/packages/endpoint/src/queue/QueueItem.ts
+++ b/packages/endpoint/src/queue/QueueItem.ts
@@ -1,14 +1,14 @@
 import type { Millis, OrganisationId, RequestId, Tokens } from "@azureshunt/core";
 
-/** One request that waits for an endpoint. */
+/** A request that waits for an endpoint. */
 export type QueueItem = {
     readonly id: RequestId;
     readonly organisation: OrganisationId;
-    /** Weight of the organisation; twice the weight gets twice the work. */
+    /** Weight of the organisation; its share of work is proportional. */
     readonly weight: number;
-    /** Work that the request brings, in tokens. */
+    /** Work of the request. */
     readonly cost: Tokens;
-    /** 0 goes first. */
+    /** 0 is the highest priority. */
     readonly priority: number;
     readonly deadline: Millis;
     readonly arrivedAt: Millis;
--- a/packages/endpoint/src/queue/QueueLane.ts
+++ b/packages/endpoint/src/queue/QueueLane.ts
@@ -1,9 +1,9 @@
 import type { QueueItem } from "./QueueItem.js";
 
-/** One organisation's part of a fair queue. */
+/** Waiting requests of one organisation. */
 export type QueueLane = {
-    /** Work that the organisation was given, divided by its weight, on the queue's virtual clock. */
+    /** Work that the organisation got, divided by its weight, on the queue's virtual clock. */
     readonly virtualTime: number;
-    /** In the order of priority, deadline and arrival. */
+    /** Sorted by priority, deadline and arrival. */
     readonly items: readonly QueueItem[];
 };
--- a/packages/endpoint/src/queue/emptyQueue.ts
+++ b/packages/endpoint/src/queue/emptyQueue.ts
@@ -1,6 +1,6 @@
 import type { FairQueue } from "./FairQueue.js";
 
-/** Makes a queue without work. */
+/** Creates an empty queue. */
 export function emptyQueue(): FairQueue {
     return { virtualTime: 0, lanes: new Map() };
 }
--- a/packages/endpoint/src/queue/enqueue.ts
+++ b/packages/endpoint/src/queue/enqueue.ts
@@ -1,7 +1,7 @@
 import type { FairQueue } from "./FairQueue.js";
 import type { QueueItem } from "./QueueItem.js";
 
-const goesBefore = (a: QueueItem, b: QueueItem): boolean =>
+const precedes = (a: QueueItem, b: QueueItem): boolean =>
     a.priority !== b.priority
         ? a.priority < b.priority
         : a.deadline !== b.deadline
@@ -13,8 +13,8 @@
     const lane = queue.lanes.get(item.organisation) ?? { virtualTime: 0, items: [] };
     const isIdle = lane.items.length === 0;
     const virtualTime = isIdle ? Math.max(lane.virtualTime, queue.virtualTime) : lane.virtualTime;
-    const at = lane.items.findIndex(each => goesBefore(item, each));
-    const place = at === -1 ? lane.items.length : at;
-    const items = [...lane.items.slice(0, place), item, ...lane.items.slice(place)];
+    const found = lane.items.findIndex(each => precedes(item, each));
+    const index = found === -1 ? lane.items.length : found;
+    const items = [...lane.items.slice(0, index), item, ...lane.items.slice(index)];
     return { ...queue, lanes: new Map(queue.lanes).set(item.organisation, { virtualTime, items }) };
 }
--- a/packages/endpoint/src/queue/itemsOf.ts
+++ b/packages/endpoint/src/queue/itemsOf.ts
@@ -1,7 +1,7 @@
 import type { FairQueue } from "./FairQueue.js";
 import type { QueueItem } from "./QueueItem.js";
 
-/** All waiting requests, lane by lane. */
+/** Returns all waiting requests, lane by lane. */
 export function itemsOf(queue: FairQueue): readonly QueueItem[] {
     return [...queue.lanes.values()].flatMap(lane => lane.items);
 }
--- a/packages/endpoint/src/queue/takeNext.ts
+++ b/packages/endpoint/src/queue/takeNext.ts
@@ -6,11 +6,11 @@
 import type { QueueLane } from "./QueueLane.js";
 import type { QueueTake } from "./QueueTake.js";
 
-/** Requests of one lane that are looked at; one that cannot start yet does not hold up those behind it. */
+/** Requests checked per lane, so that one that cannot start yet does not block those behind it. */
 const LOOK_AHEAD = 4;
 
-/** Lanes that say nothing any more are dropped, so that a queue is as large as its work. */
-function pruned(lanes: readonly (readonly [OrganisationId, QueueLane])[], virtualTime: number): FairQueue {
+/** Drops empty lanes whose virtual time is not ahead of the queue's, so that the queue is only as large as its work. */
+function withoutIdleLanes(lanes: readonly (readonly [OrganisationId, QueueLane])[], virtualTime: number): FairQueue {
     if (lanes.every(([, lane]) => lane.items.length === 0)) {
         return emptyQueue();
     }
@@ -18,10 +18,10 @@
 }
 
 /**
- * Takes the next request by start-time fair queueing: the organisation that was given least, measured in work by
- * weight, goes first. An organisation that sends several times its share only lengthens its own lane.
+ * Takes the next request by start-time fair queueing: the organisation that got the least work relative to its weight
+ * goes first. An organisation that sends several times its share only lengthens its own lane.
  *
- * @param canStart whether a request can be placed now
+ * @param canStart returns whether a request can be placed now
  */
 export function takeNext(queue: FairQueue, canStart: (item: QueueItem) => boolean): QueueTake {
     const item = [...queue.lanes.values()]
@@ -40,5 +40,5 @@
     const lanes = [...queue.lanes].map(([organisation, each]) =>
         [organisation, organisation === item.organisation ? rest : each] as const
     );
-    return { queue: pruned(lanes, Math.max(queue.virtualTime, lane.virtualTime)), item };
+    return { queue: withoutIdleLanes(lanes, Math.max(queue.virtualTime, lane.virtualTime)), item };
 }
--- a/packages/endpoint/src/queue/workBefore.ts
+++ b/packages/endpoint/src/queue/workBefore.ts
@@ -9,17 +9,17 @@
 const ownBefore = (lane: QueueLane | undefined, item: QueueItem): Tokens =>
     workIn((lane?.items ?? []).filter(each => each.priority <= item.priority && each.id !== item.id));
 
-/** What another lane is given while the item's lane moves up by `ownWork`: at most its share by weight. */
+/** Estimates the work that another lane gets while the item's lane gets `ownWork`: at most its share by weight. */
 function shareOf(lane: QueueLane, lead: number, ownWork: Tokens, weight: number): Tokens {
     const laneWeight = lane.items[0]?.weight ?? 1;
     return Math.min(workIn(lane.items), Math.max(0, (ownWork / weight + lead) * laneWeight));
 }
 
 /**
- * Estimates the work that a fair queue gives out before a request's turn.
+ * Estimates the work that a fair queue starts before a request.
  *
- * @param item the request, whether it is in the queue already or not
- * @returns tokens of other requests
+ * @param item the request; it may or may not be in the queue already
+ * @returns work in tokens
  */
 export function workBefore(queue: FairQueue, item: QueueItem): Tokens {
     const own = queue.lanes.get(item.organisation);
--- a/packages/endpoint/src/state/EndpointEffect.ts
+++ b/packages/endpoint/src/state/EndpointEffect.ts
@@ -1,9 +1,9 @@
 import type { Incarnation } from "@azureshunt/core";
 
 /**
- * What an endpoint's event calls for. `begin-cache`: a new run began, so all cached entries of earlier ones are void.
- * `probe`: ask the endpoint for its state now. `share-speed`: tell other VMs
- * of an observation of its speed.
+ * Effect of an event of an endpoint. `begin-cache`: a new incarnation started, so all entries of earlier ones in the
+ * prefix index are invalid. `probe`: query the endpoint's state now. `share-speed`: send an observation of its prefill
+ * speed to other VMs.
  */
 export type EndpointEffect =
     | { readonly kind: "begin-cache"; readonly incarnation: Incarnation; }
--- a/packages/endpoint/src/state/EndpointEvent.ts
+++ b/packages/endpoint/src/state/EndpointEvent.ts
@@ -3,7 +3,7 @@
 import type { HeldWeights } from "./HeldWeights.js";
 import type { LoadReport } from "./LoadReport.js";
 
-/** What happens to an endpoint. Answers name the time of asking, so that a late one cannot bring back a former run. */
+/** Event of an endpoint. Answers carry the time of their request, so a late one cannot restore a past incarnation. */
 export type EndpointEvent =
     | {
         readonly kind: "declared";
@@ -15,15 +15,15 @@
         readonly kind: "dispatched";
         readonly dispatchId: DispatchId;
         readonly prefillTokens: Tokens;
-        /** Tokens that stand before it at the endpoint, as estimated. */
+        /** Estimated prompt tokens that the endpoint has to prefill before this dispatch. */
         readonly backlogTokens: Tokens;
     }
     | {
-        /** The head of the answer came: the endpoint has taken the request up. */
+        /** The head of the answer arrived: the endpoint has accepted the request. */
         readonly kind: "accepted";
         readonly dispatchId: DispatchId;
         readonly incarnation: Incarnation | undefined;
-        /** Tokens of the prompt that the endpoint really computes, where it said so. */
+        /** Prompt tokens that the endpoint actually computes; undefined if it did not report them. */
         readonly prefillTokens: Tokens | undefined;
     }
     | { readonly kind: "first-token"; readonly dispatchId: DispatchId; }
@@ -33,9 +33,9 @@
         readonly outcome: "complete" | "refused" | "died" | "cancelled";
     }
     | { readonly kind: "load-reported"; readonly report: LoadReport; readonly askedAt: Millis; }
-    /** Another VM has sent the endpoint work. */
+    /** Another VM sent work to the endpoint. */
     | { readonly kind: "dispatched-elsewhere"; readonly prefillTokens: Tokens; readonly sentAt: Millis; }
-    /** Another VM observed the endpoint's speed. */
+    /** Another VM observed the endpoint's prefill speed. */
     | { readonly kind: "speed-observed"; readonly msPerToken: number; }
     | { readonly kind: "round-trip"; readonly ms: Millis; }
     | {
--- a/packages/endpoint/src/state/EndpointLoad.ts
+++ b/packages/endpoint/src/state/EndpointLoad.ts
@@ -1,9 +1,9 @@
 import type { Tokens } from "@azureshunt/core";
 
-/** An endpoint's load now, as estimated from own dispatches and the last report. */
+/** Estimated current load of an endpoint. */
 export type EndpointLoad = {
-    /** Requests running or waiting. */
+    /** Number of running and waiting requests. */
     readonly requests: number;
-    /** Tokens of prompts that are waiting or being computed. */
+    /** Prompt tokens waiting for prefill or in prefill. */
     readonly prefillTokens: Tokens;
 };
--- a/packages/endpoint/src/state/EndpointState.ts
+++ b/packages/endpoint/src/state/EndpointState.ts
@@ -3,42 +3,42 @@
 import type { HeldWeights } from "./HeldWeights.js";
 import type { InFlight } from "./InFlight.js";
 import type { LoadReport } from "./LoadReport.js";
-import type { OtherDispatch } from "./OtherDispatch.js";
 import type { OwnLoad } from "./OwnLoad.js";
+import type { PeerDispatch } from "./PeerDispatch.js";
 import type { PrefillSample } from "./PrefillSample.js";
 
-/** What this VM knows of one endpoint. */
+/** What this VM knows about one endpoint. */
 export type EndpointState = {
     readonly name: EndpointName;
     readonly failureDomain: FailureDomain;
     readonly url: string;
-    /** A leaving endpoint gets no new work; its streams finish. */
+    /** Whether the endpoint is leaving: it gets no new work, but its running streams finish. */
     readonly leaving: boolean;
-    /** The current run; undefined until the endpoint has told it, and always for plain services. */
+    /** The current incarnation; undefined until the endpoint reports it, and always for plain services. */
     readonly incarnation: Incarnation | undefined;
-    /** When an answer first showed the current run. */
+    /** When an answer first showed the current incarnation; `-Infinity` until then. */
     readonly incarnationSeenAt: Millis;
-    /** `unknown` before the first answer. A `down` endpoint gets no work until a probe succeeds. */
+    /** `unknown` until the first answer. A `down` endpoint gets no work until a probe succeeds. */
     readonly health: "unknown" | "up" | "down";
-    /** Whether the endpoint says that it takes work. */
+    /** Whether the endpoint reports that it accepts work. */
     readonly ready: boolean;
-    /** Times of failures within the window, the oldest first; failures close together count once. */
+    /** Times of failures within the window, oldest first; failures close together count once. */
     readonly failures: readonly Millis[];
     readonly holds: readonly HeldWeights[];
     readonly inFlight: readonly InFlight[];
     readonly report: LoadReport | undefined;
-    /** Work that other VMs sent lately, the oldest first; a report that was measured later contains it. */
-    readonly others: readonly OtherDispatch[];
-    /** This VM's own part of the load over the last seconds, the oldest first. */
+    /** Recent work sent by other VMs, oldest first; a report measured later includes it. */
+    readonly peerDispatches: readonly PeerDispatch[];
+    /** This VM's own part of the load during the last seconds, oldest first. */
     readonly ownHistory: readonly OwnLoad[];
-    /** Observations of the engine's speed, the oldest first. */
+    /** Observations of the engine's prefill speed, oldest first. */
     readonly prefillSamples: readonly PrefillSample[];
-    /** Milliseconds from dispatch to end, of recent complete dispatches, the oldest first. */
+    /** Durations from dispatch to end of recent complete dispatches, oldest first. */
     readonly durations: readonly Millis[];
-    /** Milliseconds there and back, of recent polls, the oldest first. */
+    /** Round-trip times of recent polls, oldest first. */
     readonly roundTrips: readonly Millis[];
-    /** Most requests that reports showed running. */
+    /** Maximum number of running requests in any report. */
     readonly maxRunning: number;
-    /** Reports in a row that showed so many running and others waiting. */
-    readonly fullReports: number;
+    /** Number of consecutive reports with `maxRunning` requests running and others waiting. */
+    readonly consecutiveFullReports: number;
 };
--- a/packages/endpoint/src/state/InFlight.ts
+++ b/packages/endpoint/src/state/InFlight.ts
@@ -1,15 +1,15 @@
 import type { DispatchId, Millis, Tokens } from "@azureshunt/core";
 
-/** One dispatch of this VM that an endpoint has not ended. */
+/** A dispatch of this VM that has not ended. */
 export type InFlight = {
     readonly dispatchId: DispatchId;
     readonly dispatchedAt: Millis;
-    /** Tokens of the prompt that the endpoint was expected to compute. */
+    /** Uncached prompt tokens; an estimate until `accepted`. */
     readonly prefillTokens: Tokens;
-    /** Tokens that stood before it at the endpoint, as estimated. */
+    /** Estimated prompt tokens that the endpoint had to prefill before this dispatch. */
     readonly backlogTokens: Tokens;
-    /** Whether the endpoint has said how much it computes. */
+    /** Whether the endpoint accepted the request, with the prompt tokens that it computes if it reported them. */
     readonly accepted: boolean;
-    /** When the first token came; undefined while the request waits or its prompt is computed. */
-    readonly startedAt: Millis | undefined;
+    /** `undefined` until the first token, while the request waits or is in prefill. */
+    readonly firstTokenAt: Millis | undefined;
 };
--- a/packages/endpoint/src/state/OwnLoad.ts
+++ b/packages/endpoint/src/state/OwnLoad.ts
@@ -1,10 +1,10 @@
 import type { Millis, Tokens } from "@azureshunt/core";
 
-/** This VM's own part of an endpoint's load from a time on. */
+/** This VM's own part of an endpoint's load, from a point in time until the next entry. */
 export type OwnLoad = {
     readonly from: Millis;
-    /** Dispatches not ended. */
+    /** Number of dispatches in flight. */
     readonly count: number;
-    /** Tokens of prompts not yet computed. */
+    /** Prompt tokens of dispatches without a first token. */
     readonly tokens: Tokens;
 };
--- a/packages/endpoint/src/state/PrefillSample.ts
+++ b/packages/endpoint/src/state/PrefillSample.ts
@@ -1,8 +1,8 @@
 import type { Millis } from "@azureshunt/core";
 
-/** One observation of an engine's speed. */
+/** One observation of an engine's prefill speed. */
 export type PrefillSample = {
     readonly at: Millis;
-    /** Milliseconds for one token of a prompt. */
+    /** Prefill time per prompt token. */
     readonly msPerToken: number;
 };
--- a/packages/endpoint/src/state/isEligible.ts
+++ b/packages/endpoint/src/state/isEligible.ts
@@ -2,7 +2,7 @@
 
 import type { EndpointState } from "./EndpointState.js";
 
-/** What a request asks an endpoint to hold. */
+/** Weights that an endpoint must hold to run a request. */
 type WantedWeights = {
     readonly model: ModelName;
     readonly adapter: AdapterName | undefined;
@@ -10,7 +10,7 @@
 };
 
 /**
- * Tells whether an endpoint may get new work.
+ * Returns whether an endpoint may get new work.
  *
  * @param wanted weights that the request needs; undefined for plain services
  */
--- a/packages/endpoint/src/state/newEndpoint.ts
+++ b/packages/endpoint/src/state/newEndpoint.ts
@@ -2,7 +2,7 @@
 
 import type { EndpointState } from "./EndpointState.js";
 
-/** Makes the state of an endpoint that nothing but its declaration is known of. */
+/** Creates the state of an endpoint of which only the declaration is known. */
 export function newEndpoint(
     name: EndpointName,
     failureDomain: FailureDomain,
@@ -22,12 +22,12 @@
         holds: [],
         inFlight: [],
         report: undefined,
-        others: [],
+        peerDispatches: [],
         ownHistory: [],
         prefillSamples: [],
         durations: [],
         roundTrips: [],
         maxRunning: 0,
-        fullReports: 0,
+        consecutiveFullReports: 0,
     };
 }
--- a/packages/endpoint/src/state/recordOwnLoad.ts
+++ b/packages/endpoint/src/state/recordOwnLoad.ts
@@ -2,15 +2,15 @@
 
 import type { EndpointState } from "./EndpointState.js";
 
-/** A load report older than this says nothing about now. */
+/** Older load reports are not used, so older entries are not needed. */
 const HISTORY_MS = 3_000;
-/** Changes closer together than this share an entry. */
+/** Changes closer together than this share one entry. */
 const RESOLUTION_MS = 5;
 
-/** Notes this VM's part of the endpoint's load, to be taken out of a report that is about this time. */
+/** Records this VM's own part of the endpoint's load, to be subtracted from a report measured at this time. */
 export function recordOwnLoad(state: EndpointState, now: Millis): EndpointState {
     const tokens = state.inFlight
-        .filter(each => each.startedAt === undefined)
+        .filter(each => each.firstTokenAt === undefined)
         .reduce((sum, each) => sum + each.prefillTokens, 0);
     const entry = { from: now, count: state.inFlight.length, tokens };
     const last = state.ownHistory.at(-1);
--- a/packages/endpoint/src/state/roundTripOf.ts
+++ b/packages/endpoint/src/state/roundTripOf.ts
@@ -2,7 +2,7 @@
 
 import type { EndpointState } from "./EndpointState.js";
 
-/** Milliseconds to an endpoint and back: the shortest of recent round trips, as longer ones held some waiting. */
+/** Estimates the round-trip time: the shortest recent one, as longer ones include waiting; 0 if there are none. */
 export function roundTripOf(state: EndpointState): Millis {
     return state.roundTrips.length === 0 ? 0 : Math.min(...state.roundTrips);
 }
--- a/packages/endpoint/src/state/slotsOf.ts
+++ b/packages/endpoint/src/state/slotsOf.ts
@@ -1,8 +1,8 @@
 import type { EndpointState } from "./EndpointState.js";
 
-const FULL_REPORTS = 3;
+const MIN_FULL_REPORTS = 3;
 
-/** Requests that an endpoint runs at once; undefined while it is not seen to be full. */
+/** Returns the maximum number of requests that an endpoint runs at once; undefined unless its reports show it full. */
 export function slotsOf(state: EndpointState): number | undefined {
-    return state.fullReports >= FULL_REPORTS ? state.maxRunning : undefined;
+    return state.consecutiveFullReports >= MIN_FULL_REPORTS ? state.maxRunning : undefined;
 }
--- a/packages/endpoint/src/state/stepEndpoint.ts
+++ b/packages/endpoint/src/state/stepEndpoint.ts
@@ -4,7 +4,7 @@
 import type { EndpointEvent } from "./EndpointEvent.js";
 import type { EndpointState } from "./EndpointState.js";
 import type { LoadReport } from "./LoadReport.js";
-import type { OtherDispatch } from "./OtherDispatch.js";
+import type { PeerDispatch } from "./PeerDispatch.js";
 import { prefillSamples } from "./prefillSamples.js";
 import { recordOwnLoad } from "./recordOwnLoad.js";
 import { retryAt } from "./retryAt.js";
@@ -16,8 +16,8 @@
 /** Failures older than this are forgotten. */
 const FAILURE_WINDOW_MS = 60_000;
 const MAX_FAILURES = 16;
-/** Work sent elsewhere is remembered until any report contains it. */
-const OTHERS_MS = 3_000;
+/** Dispatches of peers are kept until any usable report includes them. */
+const PEER_DISPATCH_TTL_MS = 3_000;
 const SAME_FAILURE_MS = 250;
 const MAX_SAMPLES = 15;
 
@@ -25,7 +25,7 @@
 
 const lastOf = <Item>(items: readonly Item[]): readonly Item[] => items.slice(-MAX_SAMPLES);
 
-/** One crash breaks many streams at the same moment; they count as one failure. */
+/** Records a failure. Failures within `SAME_FAILURE_MS` count once, as one crash breaks many streams at a time. */
 function withFailure(state: EndpointState, now: Millis): EndpointState {
     const recent = state.failures.filter(at => at > now - FAILURE_WINDOW_MS);
     const isSame = now - (recent.at(-1) ?? -Infinity) < SAME_FAILURE_MS;
@@ -33,10 +33,11 @@
 }
 
 /**
- * Takes note of the run that answered. An answer asked for before the current run was first seen may come from the run
- * before it, held up on the way: it must not bring that one back, or entries of a dead engine would match again.
+ * Records the incarnation that answered. An answer to a request sent before the current incarnation was first seen may
+ * be a delayed one of the previous incarnation. It must not restore that incarnation, or entries of a dead engine would
+ * match again.
  */
-function observeRun(
+function observeIncarnation(
     state: EndpointState,
     incarnation: Incarnation | undefined,
     askedAt: Millis,
@@ -45,26 +46,29 @@
     if (incarnation === undefined || incarnation === state.incarnation || askedAt < state.incarnationSeenAt) {
         return step(state);
     }
-    const fresh = { ...state, incarnation, incarnationSeenAt: now, report: undefined, holds: [], ready: false };
-    return step(fresh, [{ kind: "begin-cache", incarnation }, { kind: "probe" }]);
+    const restarted = { ...state, incarnation, incarnationSeenAt: now, report: undefined, holds: [], ready: false };
+    return step(restarted, [{ kind: "begin-cache", incarnation }, { kind: "probe" }]);
 }
 
-const isOfCurrentRun = (state: EndpointState, incarnation: Incarnation | undefined): boolean =>
+const isOfCurrentIncarnation = (state: EndpointState, incarnation: Incarnation | undefined): boolean =>
     incarnation === state.incarnation;
 
-function withOther(
+function withPeerDispatch(
     state: EndpointState,
     event: EventOf<"dispatched-elsewhere">,
     now: Millis,
-): readonly OtherDispatch[] {
+): readonly PeerDispatch[] {
     const { prefillTokens, sentAt } = event;
-    return [...state.others.filter(each => each.sentAt > now - OTHERS_MS), { prefillTokens, sentAt }];
+    return [...state.peerDispatches.filter(each => each.sentAt > now - PEER_DISPATCH_TTL_MS), {
+        prefillTokens,
+        sentAt,
+    }];
 }
 
 function dispatched(state: EndpointState, event: EventOf<"dispatched">, now: Millis): EndpointStep {
     const { dispatchId, prefillTokens, backlogTokens } = event;
     const entry = { dispatchId, prefillTokens, backlogTokens, dispatchedAt: now };
-    const added = { ...entry, accepted: false, startedAt: undefined };
+    const added = { ...entry, accepted: false, firstTokenAt: undefined };
     return step(recordOwnLoad({ ...state, inFlight: [...state.inFlight, added] }, now));
 }
 
@@ -73,19 +77,19 @@
     if (dispatch === undefined || dispatch.accepted) {
         return step(state);
     }
-    const observed = observeRun(state, event.incarnation, dispatch.dispatchedAt, now);
-    const known = { ...dispatch, accepted: true, prefillTokens: event.prefillTokens ?? dispatch.prefillTokens };
-    const inFlight = state.inFlight.map(each => each === dispatch ? known : each);
+    const observed = observeIncarnation(state, event.incarnation, dispatch.dispatchedAt, now);
+    const confirmed = { ...dispatch, accepted: true, prefillTokens: event.prefillTokens ?? dispatch.prefillTokens };
+    const inFlight = state.inFlight.map(each => each === dispatch ? confirmed : each);
     return step(recordOwnLoad({ ...observed.state, inFlight }, now), observed.effects);
 }
 
 function firstToken(state: EndpointState, event: EventOf<"first-token">, now: Millis): EndpointStep {
     const dispatch = state.inFlight.find(each => each.dispatchId === event.dispatchId);
-    if (dispatch === undefined || dispatch.startedAt !== undefined) {
+    if (dispatch === undefined || dispatch.firstTokenAt !== undefined) {
         return step(state);
     }
     const sample = prefillSamples(dispatch, now - dispatch.dispatchedAt - roundTripOf(state), now);
-    const inFlight = state.inFlight.map(each => each === dispatch ? { ...each, startedAt: now } : each);
+    const inFlight = state.inFlight.map(each => each === dispatch ? { ...each, firstTokenAt: now } : each);
     const next = { ...state, inFlight, prefillSamples: lastOf([...state.prefillSamples, ...sample]) };
     const effects = sample.map(({ msPerToken }) => ({ kind: "share-speed" as const, msPerToken }));
     return step(recordOwnLoad(next, now), effects);
@@ -109,26 +113,32 @@
     }
 }
 
-/** Requests wait for the engine's next step even when it is not full; only several reports in a row tell that it is. */
-function fullnessAfter(state: EndpointState, report: LoadReport): Pick<EndpointState, "maxRunning" | "fullReports"> {
+/**
+ * Counts consecutive full reports. Requests also wait for the next step of an engine that is not full, so a single
+ * report does not show that it is full.
+ */
+function fullnessAfter(
+    state: EndpointState,
+    report: LoadReport,
+): Pick<EndpointState, "maxRunning" | "consecutiveFullReports"> {
     const maxRunning = Math.max(state.maxRunning, report.running);
     const isFull = report.waiting > 0 && report.running === maxRunning;
-    const before = maxRunning > state.maxRunning ? 0 : state.fullReports;
-    return { maxRunning, fullReports: isFull ? before + 1 : 0 };
+    const countBefore = maxRunning > state.maxRunning ? 0 : state.consecutiveFullReports;
+    return { maxRunning, consecutiveFullReports: isFull ? countBefore + 1 : 0 };
 }
 
 function loadReported(state: EndpointState, event: EventOf<"load-reported">, now: Millis): EndpointStep {
     const { report } = event;
-    const observed = observeRun(state, report.incarnation, event.askedAt, now);
-    if (!isOfCurrentRun(observed.state, report.incarnation)) {
+    const observed = observeIncarnation(state, report.incarnation, event.askedAt, now);
+    if (!isOfCurrentIncarnation(observed.state, report.incarnation)) {
         return observed;
     }
     return step({ ...observed.state, report, ...fullnessAfter(observed.state, report) }, observed.effects);
 }
 
 function stateReported(state: EndpointState, event: EventOf<"state-reported">, now: Millis): EndpointStep {
-    const observed = observeRun(state, event.incarnation, event.askedAt, now);
-    if (!isOfCurrentRun(observed.state, event.incarnation)) {
+    const observed = observeIncarnation(state, event.incarnation, event.askedAt, now);
+    if (!isOfCurrentIncarnation(observed.state, event.incarnation)) {
         return observed;
     }
     const { ready, holds } = event;
@@ -137,7 +147,7 @@
     return step({ ...observed.state, health, ready, holds }, effects);
 }
 
-/** Applies one event to an endpoint. */
+/** Applies an event to an endpoint and returns its next state and the effects to perform. */
 export function stepEndpoint(state: EndpointState, event: EndpointEvent, now: Millis): EndpointStep {
     switch (event.kind) {
         case "declared":
@@ -155,7 +165,7 @@
         case "state-reported":
             return stateReported(state, event, now);
         case "dispatched-elsewhere":
-            return step({ ...state, others: withOther(state, event, now) });
+            return step({ ...state, peerDispatches: withPeerDispatch(state, event, now) });
         case "speed-observed":
             return step({
                 ...state,
