--- a/packages/core/src/Answer.ts
+++ b/packages/core/src/Answer.ts
@@ -1,14 +1,14 @@
 import type { Ran } from "./Ran.js";
 
-/** What a caller is told for one kind of error, and what the daemon may do about it first. */
+/** Answer to the caller for a kind of error, and whether the daemon may retry before it answers. */
 export type Answer = {
     /** HTTP status. */
     readonly status: number;
-    /** Whether the request ran: `no` is only said where no byte reached an endpoint or the endpoint refused first. */
+    /** Whether the request ran. `no` only if no byte reached an endpoint or the endpoint refused before running it. */
     readonly ran: Ran;
-    /** Seconds after which a repetition can succeed; undefined where repeating does not help. */
+    /** Seconds after which a retry can succeed; undefined if a retry does not help. */
     readonly retryAfterSeconds: number | undefined;
-    /** Whether the daemon may try another endpoint before it answers, for requests that may be repeated. */
+    /** Whether the daemon may try another endpoint before it answers, for requests that may run twice. */
     readonly retried: boolean;
     /** The `type` that OpenAI clients expect in the error body. */
     readonly type:
--- a/packages/core/src/Clock.ts
+++ b/packages/core/src/Clock.ts
@@ -1,9 +1,9 @@
 import type { Millis } from "./Millis.js";
 
-/** The two clocks, passed in so that tests set them. */
+/** The clocks of a process, as a parameter so that tests can set them. */
 export type Clock = {
-    /** Monotonic milliseconds of this process; stands still while the VM is suspended. */
+    /** Monotonic clock of this process; stands still while the VM is suspended. */
     readonly now: () => Millis;
-    /** Milliseconds since the epoch: for records, logs, and to notice a suspension; never as a duration. */
+    /** Milliseconds since the epoch: for records and logs, and to detect a suspension; never to measure a duration. */
     readonly epoch: () => number;
 };
--- a/packages/core/src/ErrorKind.ts
+++ b/packages/core/src/ErrorKind.ts
@@ -1,9 +1,9 @@
 /**
- * The closed list of error kinds. `answerOf` gives for each kind what the caller is told; a kind that is missing there
- * does not compile.
+ * All error kinds. `answerOf` defines the answer to the caller for each of them; a kind that is missing there does not
+ * compile.
  */
 export type ErrorKind =
-    // The request itself.
+    // Invalid requests.
     | "bad-request"
     | "body-too-large"
     | "headers-too-large"
@@ -31,7 +31,7 @@
     | "answer-lost"
     | "request-crashes-endpoints"
     | "request-quarantined"
-    // Requests that may not be repeated.
+    // Requests that must not run twice.
     | "intent-running"
     | "intent-outcome-unknown"
     | "intent-key-reused"
--- a/packages/core/src/OrganisationId.ts
+++ b/packages/core/src/OrganisationId.ts
@@ -1,6 +1,6 @@
 import { z } from "zod";
 
-/** Id of an organisation, as a release note names it. */
+/** Id of an organisation, as in release notes. */
 const OrganisationId = z.string().min(1).max(128).regex(
     /^[A-Za-z0-9][A-Za-z0-9._:/-]*$/,
     "use letters, digits and . _ : / -",
--- a/packages/core/src/Refusal.ts
+++ b/packages/core/src/Refusal.ts
@@ -1,13 +1,13 @@
 import type { ErrorKind } from "./ErrorKind.js";
 import type { Ran } from "./Ran.js";
 
-/** Why a request is not served. Built by `refusalOf`. */
+/** Reason for not serving a request. Created by `refusalOf`. */
 export type Refusal = {
     readonly kind: ErrorKind;
-    /** Detail for the caller; never holds a key or part of a prompt. */
+    /** Detail for the caller; never contains a key or part of a prompt. */
     readonly detail: string | undefined;
-    /** Overrides the table's value, where the daemon knows a truer one. */
+    /** From `answerOf`, unless the daemon knows a more accurate value. */
     readonly retryAfterSeconds: number | undefined;
-    /** Whether it ran; from the table unless the caller of `refusalOf` knows better. */
+    /** From `answerOf`, unless the caller of `refusalOf` knows more. */
     readonly ran: Ran;
 };
--- a/packages/core/src/Step.ts
+++ b/packages/core/src/Step.ts
@@ -1,4 +1,4 @@
-/** What an aggregate makes of one event: its next state and the effects that its actor is to perform. */
+/** Result of applying an event to an aggregate: its next state and the effects for its actor to perform. */
 export type Step<State, Effect> = {
     readonly state: State;
     readonly effects: readonly Effect[];
--- a/packages/core/src/Tokens.ts
+++ b/packages/core/src/Tokens.ts
@@ -1,2 +1,2 @@
-/** A number of tokens of a prompt or an output. */
+/** Number of tokens of a prompt or an output. */
 export type Tokens = number;
--- a/packages/core/src/__tests__/unit/pieceHashes.test.ts
+++ b/packages/core/src/__tests__/unit/pieceHashes.test.ts
@@ -18,7 +18,7 @@
 const hashes = (organisation: string, version: string, prompt = PROMPT) =>
     pieceHashes(cacheSalt(scope(organisation, version)), prompt, PIECE_TOKENS);
 
-test("pieces: only whole ones are hashed", t => {
+test("pieces: only complete pieces are hashed", t => {
     t.is(hashes("a", "v1").length, 2);
 });
 
--- a/packages/core/src/answerOf.ts
+++ b/packages/core/src/answerOf.ts
@@ -134,7 +134,7 @@
     "internal": answer(500, "maybe", 1, false, "api_error", "The daemon failed."),
 };
 
-/** Gives what the caller is told for a kind of error. */
+/** Returns the answer that the caller gets for a kind of error. */
 export function answerOf(kind: ErrorKind): Answer {
     return ANSWERS[kind];
 }
--- a/packages/core/src/cacheSalt.ts
+++ b/packages/core/src/cacheSalt.ts
@@ -5,7 +5,7 @@
 import type { OrganisationId } from "./OrganisationId.js";
 import type { WeightsVersion } from "./WeightsVersion.js";
 
-/** What a cached prefix belongs to. Two requests share cache only where all four are the same. */
+/** Scope of a cached prefix. Two requests share cached prefixes only if all four are equal. */
 type CacheScope = {
     readonly organisation: OrganisationId;
     readonly model: ModelName;
@@ -14,8 +14,8 @@
 };
 
 /**
- * Derives the salt of all hashes of a prompt's pieces. Organisation and weights are part of it, so entries of another
- * organisation or of older weights cannot match.
+ * Derives the salt for the hashes of a prompt's pieces. It includes the organisation and the weights, so entries of
+ * another organisation or of older weights cannot match.
  *
  * @returns 64 hexadecimal digits, sent to the engine as `cache_salt`
  */
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -1,4 +1,4 @@
-/** Ids, error kinds and their answers, invariants, and the state machine shape that every aggregate shares. */
+/** Ids, error kinds and their answers, prompt hashes, invariants, clocks, and the type of a state machine's step. */
 export { AdapterName } from "./AdapterName.js";
 export type { Answer } from "./Answer.js";
 export { answerOf } from "./answerOf.js";
--- a/packages/core/src/invariant.ts
+++ b/packages/core/src/invariant.ts
@@ -1,10 +1,10 @@
 /**
- * Stops the current operation when something holds no longer that the code relies on.
+ * Aborts the current operation if a condition that the code relies on is false.
  *
- * @param condition what must hold
- * @param code stable code of the invariant, such as `AS-012`, listed nowhere else in the code
- * @param message what was expected, for the log
- * @throws Error when the condition is false
+ * @param condition condition that must be true
+ * @param code stable and unique code of the invariant, such as `AS-012`
+ * @param message expected condition, for the log
+ * @throws Error if the condition is false
  */
 export function invariant(condition: unknown, code: string, message: string): asserts condition {
     if (!condition) {
--- a/packages/core/src/pieceHashes.ts
+++ b/packages/core/src/pieceHashes.ts
@@ -10,13 +10,13 @@
     createHash("sha256").update(before).update(piece).digest("hex").slice(0, HASH_DIGITS);
 
 /**
- * Cuts a rendered prompt into whole pieces and hashes each together with all before it. A rest shorter than a piece has
- * no hash, as engines cache whole pieces only.
+ * Splits a rendered prompt into pieces and hashes each piece together with all pieces before it. A remainder shorter
+ * than a piece has no hash, as engines cache only complete pieces.
  *
  * @param salt from `cacheSalt`
- * @param prompt the rendered prompt
- * @param pieceTokens tokens of one piece
- * @returns one hash a piece, in order
+ * @param prompt from `renderPrompt`
+ * @param pieceTokens size of a piece
+ * @returns one hash per piece, in order
  */
 export function pieceHashes(salt: string, prompt: string, pieceTokens: Tokens): readonly PieceHash[] {
     const bytes = Buffer.from(prompt);
--- a/packages/core/src/refusalOf.ts
+++ b/packages/core/src/refusalOf.ts
@@ -3,17 +3,16 @@
 import type { Refusal } from "./Refusal.js";
 
 /**
- * Builds a refusal of a kind.
+ * Creates a refusal.
  *
- * @param kind kind of error
- * @param detail what a person needs to know besides; without keys and prompts
- * @param more values truer than the table's, such as a computed Retry-After in seconds
+ * @param detail additional information for a person; must not contain keys or prompts
+ * @param overrides values more accurate than those of `answerOf`, such as a computed Retry-After in seconds
  */
 export function refusalOf(
     kind: ErrorKind,
     detail?: string,
-    more: Partial<Pick<Refusal, "retryAfterSeconds" | "ran">> = {},
+    overrides: Partial<Pick<Refusal, "retryAfterSeconds" | "ran">> = {},
 ): Refusal {
     const { ran, retryAfterSeconds } = answerOf(kind);
-    return { kind, detail, ran, retryAfterSeconds, ...more };
+    return { kind, detail, ran, retryAfterSeconds, ...overrides };
 }
--- a/packages/core/src/rendezvousOrder.ts
+++ b/packages/core/src/rendezvousOrder.ts
@@ -3,12 +3,11 @@
 const scoreOf = (key: string, node: string): string => createHash("sha256").update(`${key}\0${node}`).digest("hex");
 
 /**
- * Orders nodes for a key by highest random weight: each node's place depends only on the key and its own name, so that
- * a node that comes or goes moves only its own keys.
+ * Orders nodes for a key by highest random weight (rendezvous hashing). The weight of a node depends only on the key
+ * and the name of the node, so adding or removing a node moves only the keys of that node.
  *
- * @param key what is to be placed
  * @param nodes the candidates, in any order
- * @returns the nodes, the first choice first
+ * @returns the nodes, first choice first
  */
 export function rendezvousOrder<Node extends string>(key: string, nodes: readonly Node[]): readonly Node[] {
     return nodes
--- a/packages/fleet/src/FleetOrder.ts
+++ b/packages/fleet/src/FleetOrder.ts
@@ -2,7 +2,7 @@
 
 import type { Weights } from "./Weights.js";
 
-/** One order to an engine. Idempotent: the engine does nothing when it is so already. */
+/** Order to an engine to load or unload weights. It is idempotent. */
 export type FleetOrder = {
     readonly endpoint: EndpointName;
     readonly action: "load" | "unload";
--- a/packages/fleet/src/LeaseEffect.ts
+++ b/packages/fleet/src/LeaseEffect.ts
@@ -2,5 +2,5 @@
 
 import type { LeaseRecord } from "./LeaseRecord.js";
 
-/** A record to be appended to the lease stream. */
+/** Record to append to the lease stream. */
 export type LeaseEffect = { readonly kind: "append"; readonly id: RecordId; readonly data: LeaseRecord; };
--- a/packages/fleet/src/LeaseEvent.ts
+++ b/packages/fleet/src/LeaseEvent.ts
@@ -1,14 +1,14 @@
 import type { RecordId } from "@azureshunt/core";
 
-/** One record of the lease stream, as the log gives it. */
+/** Record of the lease stream as returned by the log. */
 type LoggedRecord = { readonly offset: number; readonly id: RecordId; readonly data?: unknown; };
 
-/** What happens to a lease. */
+/** Event of a lease. */
 export type LeaseEvent =
     | { readonly kind: "read"; readonly records: readonly LoggedRecord[]; }
-    /** The reader's offset has fallen off the start of the log. */
+    /** Records were removed unread: the reader's offset is before `start`, the oldest one in the log. */
     | { readonly kind: "expired"; readonly start: number; }
-    /** The append surely has not taken effect. */
+    /** The append is certain not to have taken effect. */
     | { readonly kind: "append-failed"; readonly id: RecordId; }
-    /** Time has passed. `rank`: how many daemons go before this one in claiming; `id`: for the next record. */
+    /** Time has passed. `rank`: number of daemons that may claim before this one; `id`: id for the next record. */
     | { readonly kind: "tick"; readonly rank: number; readonly id: RecordId; };
--- a/packages/fleet/src/LeaseState.ts
+++ b/packages/fleet/src/LeaseState.ts
@@ -1,14 +1,14 @@
 import type { Incarnation, Millis, RecordId, VmId } from "@azureshunt/core";
 
-/** Who holds the lease as far as the log was read. */
+/** Holder of the lease according to the records read so far. */
 type Holder = {
     readonly vm: VmId;
     readonly incarnation: Incarnation;
-    /** Offset of the claim: orders carry it, and a later holder's is higher. */
+    /** Fencing token: the offset of the claim. Orders carry it, and that of a later holder is higher. */
     readonly fencing: number;
 };
 
-/** One failure domain's lease as one daemon knows it. All times are of the daemon's own monotonic clock. */
+/** A failure domain's order lease as known to one daemon. All times are of the daemon's own monotonic clock. */
 export type LeaseState = {
     readonly vm: VmId;
     readonly incarnation: Incarnation;
@@ -16,12 +16,12 @@
     /** Offset of the next record to read. */
     readonly next: number;
     readonly holder: Holder | undefined;
-    /** When the last valid record was read, or when this daemon began to read. */
-    readonly quietSince: Millis;
-    /** The append that is on its way, and when it was asked for. */
-    readonly asked: { readonly id: RecordId; readonly at: Millis; } | undefined;
-    /** Until when this daemon holds the lease, counted from when it asked; 0 when it does not. */
+    /** When the last valid record was read, or when this daemon started to read. */
+    readonly silentSince: Millis;
+    /** The append in progress, and when it was requested. */
+    readonly pendingAppend: { readonly id: RecordId; readonly requestedAt: Millis; } | undefined;
+    /** Until when this daemon holds the lease, measured from its request; 0 if it does not. */
     readonly heldUntil: Millis;
-    /** When this daemon's holding began; it waits out a former holder's last order from here. */
+    /** When this daemon acquired the lease; from then on it waits for the last order of the previous holder to end. */
     readonly heldSince: Millis;
 };
--- a/packages/fleet/src/Weights.ts
+++ b/packages/fleet/src/Weights.ts
@@ -1,6 +1,6 @@
 import type { AdapterName, ModelName, WeightsVersion } from "@azureshunt/core";
 
-/** Weights that an engine loads as one: a model's, or an adapter's beside it. */
+/** Weights that an engine loads as a unit: those of a model, or of an adapter in addition to its model. */
 export type Weights = {
     readonly model: ModelName;
     readonly adapter: AdapterName | undefined;
--- a/packages/fleet/src/__tests__/unit/lease.test.ts
+++ b/packages/fleet/src/__tests__/unit/lease.test.ts
@@ -11,7 +11,7 @@
 const SEED = 20_261_202;
 const TTL: Millis = 3_000;
 const ORDER_MS: Millis = 500;
-const PATIENCE = TTL * 2;
+const CLAIM_AFTER_MS = TTL * 2;
 
 type Logged = { readonly offset: number; readonly id: RecordId; readonly data?: unknown; };
 
@@ -24,68 +24,73 @@
 const logOf = (effects: ReturnType<typeof tick>["effects"], from = 0): readonly Logged[] =>
     effects.map((effect, i) => ({ offset: from + i, id: effect.id, data: effect.data }));
 
-/** A daemon that has claimed at time PATIENCE and read its claim. */
+/** A daemon that claimed the lease at CLAIM_AFTER_MS and has read its claim. */
 const holder = () => {
-    const asked = tick(leaseOf("a"), "a-1", PATIENCE);
-    return { state: read(asked.state, logOf(asked.effects), PATIENCE + 10), log: logOf(asked.effects) };
+    const claim = tick(leaseOf("a"), "a-1", CLAIM_AFTER_MS);
+    return { state: read(claim.state, logOf(claim.effects), CLAIM_AFTER_MS + 10), log: logOf(claim.effects) };
 };
 
-test("lease: nobody claims before a former holder's time is over", t => {
+test("lease: no claim before the lease of a previous holder has expired", t => {
     t.deepEqual(tick(leaseOf("a"), "a-1", TTL).effects, []);
-    t.is(tick(leaseOf("a"), "a-1", PATIENCE).effects.length, 1);
+    t.is(tick(leaseOf("a"), "a-1", CLAIM_AFTER_MS).effects.length, 1);
 });
 
-test("lease: of two that claim on the same view of the log only the first holds it", t => {
-    // Two VMs that claimed the lease each take their own claim for the valid one, and both give orders.
-    const [a, b] = [tick(leaseOf("a"), "a-1", PATIENCE), tick(leaseOf("b"), "b-1", PATIENCE)];
+test("lease: of two claims from the same view of the log only the first is valid", t => {
+    // Two VMs claim the lease, each takes its own claim as the valid one, and both send orders.
+    const [a, b] = [tick(leaseOf("a"), "a-1", CLAIM_AFTER_MS), tick(leaseOf("b"), "b-1", CLAIM_AFTER_MS)];
     const log = [...logOf(a.effects), ...logOf(b.effects, 1)];
-    const states = [a.state, b.state].map(state => read(state, log, PATIENCE + 10));
+    const states = [a.state, b.state].map(state => read(state, log, CLAIM_AFTER_MS + 10));
     t.deepEqual(states.map(state => state.holder?.vm as string), ["a", "a"]);
-    t.deepEqual(states.map(state => mayOrder(state, PATIENCE + 20, true, ORDER_MS)), [0, undefined]);
+    t.deepEqual(states.map(state => mayOrder(state, CLAIM_AFTER_MS + 20, true, ORDER_MS)), [0, undefined]);
 });
 
-test("lease: a holder that was paused beyond its time orders nothing", t => {
-    // The process is stopped, its lease lapses, another daemon takes it. Woken up, it would send what it had planned.
+test("lease: a holder that was suspended beyond its lease sends no order", t => {
+    // A process is suspended, its lease expires and another daemon takes it. When resumed, it sends its planned orders.
     const { state } = holder();
-    t.is(mayOrder(state, PATIENCE + 20, true, ORDER_MS), 0);
-    t.is(mayOrder(state, PATIENCE + TTL, true, ORDER_MS), undefined);
+    t.is(mayOrder(state, CLAIM_AFTER_MS + 20, true, ORDER_MS), 0);
+    t.is(mayOrder(state, CLAIM_AFTER_MS + TTL, true, ORDER_MS), undefined);
 });
 
 [
-    { name: "checks fencing, lease nearly over", checks: true, at: PATIENCE + TTL - 1, allowed: true },
-    { name: "ignores fencing, lease nearly over", checks: false, at: PATIENCE + TTL - 1, allowed: false },
-    { name: "ignores fencing, former holder's order may still run", checks: false, at: PATIENCE + 20, allowed: false },
-    { name: "ignores fencing, ample time", checks: false, at: PATIENCE + 1_000, allowed: true },
+    { name: "checks fencing, lease nearly expired", checks: true, at: CLAIM_AFTER_MS + TTL - 1, allowed: true },
+    { name: "ignores fencing, lease nearly expired", checks: false, at: CLAIM_AFTER_MS + TTL - 1, allowed: false },
+    {
+        name: "ignores fencing, order of the previous holder may still run",
+        checks: false,
+        at: CLAIM_AFTER_MS + 20,
+        allowed: false,
+    },
+    { name: "ignores fencing, enough time left", checks: false, at: CLAIM_AFTER_MS + 1_000, allowed: true },
 ].forEach(({ name, checks, at, allowed }) =>
     test(`lease: order to an engine that ${name}`, t => {
         t.is(mayOrder(holder().state, at, checks, ORDER_MS) !== undefined, allowed);
     })
 );
 
-test("lease: a renewal keeps the fencing number, a later claim has a higher one", t => {
+test("lease: a renewal keeps the fencing token, a later claim has a higher one", t => {
     const { state } = holder();
-    const renewed = tick(state, "a-2", PATIENCE + TTL / 2);
-    const after = read(renewed.state, logOf(renewed.effects, 1), PATIENCE + TTL / 2 + 10);
-    t.is(mayOrder(after, PATIENCE + TTL + 100, true, ORDER_MS), 0);
-    const other = read(leaseOf("b"), [...holder().log, ...logOf(renewed.effects, 1)], 2 * PATIENCE);
-    const claim = tick(other, "b-1", 4 * PATIENCE);
-    t.is(read(claim.state, logOf(claim.effects, 2), 4 * PATIENCE + 1).holder?.fencing, 2);
+    const renewed = tick(state, "a-2", CLAIM_AFTER_MS + TTL / 2);
+    const after = read(renewed.state, logOf(renewed.effects, 1), CLAIM_AFTER_MS + TTL / 2 + 10);
+    t.is(mayOrder(after, CLAIM_AFTER_MS + TTL + 100, true, ORDER_MS), 0);
+    const other = read(leaseOf("b"), [...holder().log, ...logOf(renewed.effects, 1)], 2 * CLAIM_AFTER_MS);
+    const claim = tick(other, "b-1", 4 * CLAIM_AFTER_MS);
+    t.is(read(claim.state, logOf(claim.effects, 2), 4 * CLAIM_AFTER_MS + 1).holder?.fencing, 2);
 });
 
-test("lease: malformed records are read over", t => {
+test("lease: malformed records are skipped", t => {
     const state = read(leaseOf("a"), [{ offset: 0, id: idOf("x"), data: "nonsense" }, { offset: 1, id: idOf("y") }], 5);
     t.is(state.holder, undefined);
     t.is(state.next, 2);
 });
 
-test("lease: never two holders, however late each daemon reads, asks and is paused", t => {
+test("lease: never two holders, with any delay of reads, appends and processes", t => {
     const step = fc.record({ who: fc.nat(2), act: fc.constantFrom("tick", "read", "land", "wait"), ms: fc.nat(4_000) });
     fc.assert(
         fc.property(fc.array(step, { minLength: 100, maxLength: 100 }), steps => {
             const names = ["a", "b", "c"];
             const states = names.map(name => leaseOf(name));
             const log: Logged[] = [];
-            const flying: Omit<Logged, "offset">[][] = names.map(() => []);
+            const inTransit: Omit<Logged, "offset">[][] = names.map(() => []);
             let now = 0;
             steps.forEach(({ who, act, ms }, i) => {
                 const state = states[who]!;
@@ -93,11 +98,11 @@
                     case "tick": {
                         const { state: next, effects } = tick(state, `${names[who]}-${i}`, now);
                         states[who] = next;
-                        flying[who]!.push(...effects.map(({ id, data }) => ({ id, data })));
+                        inTransit[who]!.push(...effects.map(({ id, data }) => ({ id, data })));
                         break;
                     }
                     case "land": {
-                        const record = flying[who]!.shift();
+                        const record = inTransit[who]!.shift();
                         if (record !== undefined) {
                             log.push({ ...record, offset: log.length });
                         }
--- a/packages/fleet/src/__tests__/unit/planOrders.test.ts
+++ b/packages/fleet/src/__tests__/unit/planOrders.test.ts
@@ -55,45 +55,49 @@
 }).map(order => `${order.action} ${order.weights.version}${order.weights.adapter ?? ""} at ${order.endpoint}`);
 
 [
-    { name: "all as declared", engines: [engine("a", [weights("v2")])], expected: [] },
-    { name: "new version", engines: [engine("a", [weights("v1")])], expected: ["load v2 at a"] },
+    { name: "no order if all is as declared", engines: [engine("a", [weights("v2")])], expected: [] },
+    { name: "loads a new version", engines: [engine("a", [weights("v1")])], expected: ["load v2 at a"] },
     {
-        name: "old version goes last",
+        name: "unloads the old version once the new one is loaded",
         engines: [engine("a", [weights("v1"), weights("v2")])],
         expected: ["unload v1 at a"],
     },
-    { name: "loading already", engines: [engine("a", [weights("v1")], [weights("v2")])], expected: [] },
-    { name: "cold start", engines: [engine("a", [])], expected: ["load v2 at a"] },
+    {
+        name: "no order while the weights are loading",
+        engines: [engine("a", [weights("v1")], [weights("v2")])],
+        expected: [],
+    },
+    { name: "loads weights at an engine without any", engines: [engine("a", [])], expected: ["load v2 at a"] },
 ].forEach(({ name, engines, expected }) =>
     test(`fleet: ${name}`, t => {
         t.deepEqual(plan(engines), expected);
     })
 );
 
-test("fleet: old weights stay while a request may still ask for them", t => {
+test("fleet: old weights stay while a request may still need them", t => {
     t.deepEqual(plan([engine("a", [weights("v1"), weights("v2")])], { mayUnload: false }), []);
 });
 
-test("fleet: adapters are loaded beside their model", t => {
+test("fleet: adapters are loaded in addition to their model", t => {
     t.deepEqual(plan([engine("a", [weights("v2")])], { adapters: ["tyres"] }), ["load v2tyres at a"]);
 });
 
-test("fleet: loads are limited to what the weight store bears", t => {
+test("fleet: the number of concurrent loads is limited", t => {
     const cold = ["a", "b", "c"].map(name => engine(name, []));
     t.is(plan(cold, { maxLoads: 2 }).length, 2);
     t.is(plan([engine("z", [], [weights("v2")]), ...cold], { maxLoads: 2 }).length, 1);
 });
 
-test("fleet: leaving and busy engines get no order", t => {
+test("fleet: engines that are leaving or have an order in progress get no order", t => {
     t.deepEqual(plan([engine("a", []), engine("b", [])], { leaving: ["a"], busy: ["b"] }), []);
 });
 
 [
-    { name: "half of the replicas hold it", v1: 2, v2: 2, current: "v1", expected: "v2" },
-    { name: "too few hold it", v1: 3, v2: 1, current: "v1", expected: "v1" },
-    { name: "replicas crashed after the change", v1: 3, v2: 1, current: "v2", expected: "v2" },
-    { name: "a restarted daemon amid a change", v1: 3, v2: 1, current: undefined, expected: "v1" },
-    { name: "nothing is held", v1: 0, v2: 0, current: "v1", expected: "v2" },
+    { name: "new version at half of the replicas", v1: 2, v2: 2, current: "v1", expected: "v2" },
+    { name: "too few replicas hold the new version", v1: 3, v2: 1, current: "v1", expected: "v1" },
+    { name: "replicas with the new version crashed after the change", v1: 3, v2: 1, current: "v2", expected: "v2" },
+    { name: "daemon restarted during a change", v1: 3, v2: 1, current: undefined, expected: "v1" },
+    { name: "no replica holds any version", v1: 0, v2: 0, current: "v1", expected: "v2" },
 ].forEach(({ name, v1, v2, current, expected }) =>
     test(`traffic version: ${name}`, t => {
         const holders = new Map([["v1", v1], ["v2", v2]].map(([v, n]) => [WeightsVersion.parse(v), n as number]));
--- a/packages/fleet/src/index.ts
+++ b/packages/fleet/src/index.ts
@@ -1,4 +1,4 @@
-/** Orders that bring endpoints to what the configuration declares. */
+/** Planning of orders that make engines hold the weights that the configuration declares, and the order lease. */
 export type { FleetOrder } from "./FleetOrder.js";
 export { isSameWeights } from "./isSameWeights.js";
 export type { LeaseEffect } from "./LeaseEffect.js";
--- a/packages/fleet/src/mayOrder.ts
+++ b/packages/fleet/src/mayOrder.ts
@@ -3,16 +3,17 @@
 import type { LeaseState } from "./LeaseState.js";
 
 /**
- * Whether this daemon may send an order now. To be asked right before the first byte goes out, with the clock read
- * anew, since the process may have been paused since it planned the order.
+ * Returns the fencing token for an order if this daemon may send it now. Call it right before sending the first byte,
+ * with a new reading of the clock, since the process may have been suspended since it planned the order.
  *
- * Failure: a holder is paused beyond its lease and sends on. An engine that checks fencing numbers refuses it. For one
- * that does not, guard: the order must surely end within the lease, and a new holder waits as long as an order of the
- * former one can take. What slips through a pause between this check and the sending is undone by planning again.
+ * A holder that is suspended beyond its lease would still send its orders. An engine that checks fencing tokens refuses
+ * these. To prevent the fault at other engines, the order must be certain to end within the lease, and a new holder
+ * first waits for the maximum duration of an order of the previous holder. If a suspension between this check and the
+ * sending lets an order through, later planning undoes it.
  *
- * @param checksFencing whether the engine refuses orders with an old fencing number
- * @param orderMs longest time that an order takes
- * @returns the fencing number for the order; undefined when it must not be sent
+ * @param checksFencing whether the engine refuses orders with an old fencing token
+ * @param orderMs maximum duration of an order
+ * @returns undefined if the order must not be sent
  */
 export function mayOrder(state: LeaseState, now: Millis, checksFencing: boolean, orderMs: Millis): number | undefined {
     const { holder, heldUntil, heldSince, incarnation } = state;
--- a/packages/fleet/src/newLease.ts
+++ b/packages/fleet/src/newLease.ts
@@ -3,9 +3,10 @@
 import type { LeaseState } from "./LeaseState.js";
 
 /**
- * The lease as a daemon knows it at its start: nothing is known, and a former process on the same VM may still hold it.
+ * Creates the lease state of a daemon at its start. Nothing is known then, and a previous process on the same VM may
+ * still hold the lease.
  *
- * @param ttlMs milliseconds that a claim or renewal holds
+ * @param ttlMs validity of a claim or renewal
  */
 export function newLease(vm: VmId, incarnation: Incarnation, ttlMs: Millis, now: Millis): LeaseState {
     return {
@@ -14,8 +15,8 @@
         ttlMs,
         next: 0,
         holder: undefined,
-        quietSince: now,
-        asked: undefined,
+        silentSince: now,
+        pendingAppend: undefined,
         heldUntil: 0,
         heldSince: 0,
     };
--- a/packages/fleet/src/planOrders.ts
+++ b/packages/fleet/src/planOrders.ts
@@ -7,16 +7,16 @@
 import { wantedWeights } from "./wantedWeights.js";
 import type { Weights } from "./Weights.js";
 
-/** What orders are planned from. */
-type FleetView = {
+/** Inputs for planning orders. */
+type PlanInput = {
     readonly cfg: Configuration;
-    /** Engines of the failure domain that answered lately. */
+    /** Engines of the failure domain that answered recently. */
     readonly engines: readonly ObservedEngine[];
-    /** Engines that still have an order on its way; these get no other one. */
+    /** Engines with an order in progress; they get no other one. */
     readonly busy: ReadonlySet<EndpointName>;
-    /** Loads that may run at once in this failure domain, as the weight store bears. */
+    /** Maximum number of concurrent loads in this failure domain, limited by what the weight store can serve. */
     readonly maxLoads: number;
-    /** Whether no request can still ask for these weights, so that they may go. */
+    /** Returns whether no request can still need these weights, so that they may be unloaded. */
     readonly mayUnload: (weights: Weights) => boolean;
 };
 
@@ -31,7 +31,7 @@
 const unloadsOf = (
     engine: ObservedEngine,
     wanted: readonly Weights[],
-    mayUnload: FleetView["mayUnload"],
+    mayUnload: PlanInput["mayUnload"],
 ): readonly FleetOrder[] =>
     engine.holds
         .filter(weights => !includes(wanted, weights) && mayUnload(weights))
@@ -41,15 +41,15 @@
     spec === undefined || spec.leaving ? undefined : wantedWeights(cfg, spec);
 
 /**
- * Compares what engines hold with what the configuration declares, and plans at most one order for each engine. Old
- * weights go only after all that is wanted is there, so a new version never leaves an engine with none.
+ * Compares the weights that engines hold with the declared ones, and plans at most one order per engine. Old weights
+ * are unloaded only after all declared weights are loaded, so a new version never leaves an engine without weights.
  *
- * The plan depends on what is so now and on no former order: an order that was lost, or undone by a holder of an older
- * lease at an engine that does not check fencing numbers, is planned again.
+ * The plan depends only on the current state and not on earlier orders. An order that was lost is planned again, and so
+ * is one that the holder of an older lease undid at an engine that does not check fencing tokens.
  */
-export function planOrders(view: FleetView): readonly FleetOrder[] {
-    const { cfg, engines, busy, maxLoads, mayUnload } = view;
-    const running = engines.reduce((sum, engine) => sum + engine.loading.length, 0);
+export function planOrders(input: PlanInput): readonly FleetOrder[] {
+    const { cfg, engines, busy, maxLoads, mayUnload } = input;
+    const loading = engines.reduce((sum, engine) => sum + engine.loading.length, 0);
     const planned = engines
         .filter(engine => !busy.has(engine.name))
         .flatMap(engine => {
@@ -61,6 +61,6 @@
             const orders = loads.length > 0 || engine.loading.length > 0 ? loads : unloadsOf(engine, wanted, mayUnload);
             return orders.slice(0, 1);
         });
-    const loads = planned.filter(order => order.action === "load").slice(0, Math.max(0, maxLoads - running));
+    const loads = planned.filter(order => order.action === "load").slice(0, Math.max(0, maxLoads - loading));
     return [...loads, ...planned.filter(order => order.action === "unload")];
 }
--- a/packages/fleet/src/wantedWeights.ts
+++ b/packages/fleet/src/wantedWeights.ts
@@ -2,7 +2,7 @@
 
 import type { Weights } from "./Weights.js";
 
-/** The weights that the configuration declares for an engine: each of its models, and each adapter of these. */
+/** Returns the weights that the configuration declares for an engine: of its models and their adapters. */
 export function wantedWeights(cfg: Configuration, endpoint: EndpointSpec): readonly Weights[] {
     return endpoint.models
         .map(name => cfg.models.get(name))
--- a/packages/log/src/LogPort.ts
+++ b/packages/log/src/LogPort.ts
@@ -1,13 +1,13 @@
 import type { RecordId } from "@azureshunt/core";
 import type { Either } from "purify-ts";
 
-/** One record of a stream of the platform's log. `data` is what the writer gave. */
+/** Record of a stream of the platform's log. `data` is the value that the writer appended. */
 type LogRecord = { readonly offset: number; readonly id: RecordId; readonly at: number; readonly data?: unknown; };
 
-/** What a read gives: `start` is the oldest offset still kept, `end` the offset of the next record. */
+/** Result of a read. `start` is the oldest offset in the log, `end` the offset of the next record to be appended. */
 type LogPage = { readonly start: number; readonly end: number; readonly records: readonly LogRecord[]; };
 
-/** `lost`: no answer came, and the append may have taken effect. `expired`: `from` lies before `start`. */
+/** `lost`: no answer was received, and the append may have taken effect. `expired`: `from` is before `start`. */
 type LogFailure =
     | { readonly kind: "unreachable" | "lost"; }
     | { readonly kind: "expired"; readonly start: number; readonly end: number; };
--- a/packages/log/src/createLogClient.ts
+++ b/packages/log/src/createLogClient.ts
@@ -5,7 +5,7 @@
 
 import type { LogPort } from "./LogPort.js";
 
-/** Bound on an append, and on a read beyond the wait that it asks for; a log that is slower counts as unreachable. */
+/** Timeout of an append, which then fails as `lost`, and of a read beyond its `waitMs`, then `unreachable`. */
 const CALL_TIMEOUT_MS = 2_000;
 const CONNECT_TIMEOUT_MS = 500;
 
@@ -23,16 +23,17 @@
     })),
 });
 
-/** Whether an error shows that no byte of the request can have reached the log. */
-const neverSent = (err: unknown): boolean =>
+/** Returns whether an error shows that no byte of the request can have reached the log. */
+const isNeverSent = (err: unknown): boolean =>
     err instanceof Error && "code" in err && (err.code === "ECONNREFUSED" || err.code === "UND_ERR_CONNECT_TIMEOUT");
 
 /**
- * Makes a client of the platform's log.
+ * Creates a client of the platform's log.
  *
- * Failure: the log is down, slow, or does an append and loses the answer. The first two show as `unreachable`, the last
- * as `lost`. Guard: an append is `unreachable` only when the connection was refused or the log itself said so, thus it
- * surely has not taken effect; every other failure is `lost`, and the caller looks for its record id before repeating.
+ * If the log is down, calls fail as `unreachable`. If the answer to an append gets lost, the append may have taken
+ * effect, and repeating it could write the record twice. To prevent this, an append fails as `unreachable` only if the
+ * connection failed or the log itself reported an error, so that it is certain not to have taken effect. Every other
+ * failure, such as a timeout, is `lost`, and the caller looks for its record id before it repeats the append.
  *
  * @param url base URL of the platform
  */
@@ -55,7 +56,7 @@
                 : Left({ kind: "unreachable" as const });
         }
         catch (err) {
-            return Left({ kind: neverSent(err) ? "unreachable" as const : "lost" as const });
+            return Left({ kind: isNeverSent(err) ? "unreachable" as const : "lost" as const });
         }
     };
 
--- a/packages/log/src/index.ts
+++ b/packages/log/src/index.ts
@@ -1,4 +1,4 @@
-/** Client of the platform: its log and its list of VMs. */
+/** Client of the platform's log and of its list of VMs. */
 export { createLogClient } from "./createLogClient.js";
 export { listVms } from "./listVms.js";
 export type { LogPort } from "./LogPort.js";
--- a/packages/log/src/listVms.ts
+++ b/packages/log/src/listVms.ts
@@ -15,14 +15,14 @@
     })),
 });
 
-/** One VM as the platform's list shows it. */
+/** Entry of the platform's list of VMs. */
 type ListedVm = z.infer<typeof VmList>["vms"][number];
 
 /**
- * Reads the platform's list of live and leaving VMs. The list lags behind what is so.
+ * Reads the platform's list of live and leaving VMs. The list lags behind the actual state.
  *
  * @param url base URL of the platform
- * @returns Left when the platform can't be reached or answers nonsense
+ * @returns Left if the platform cannot be reached or its answer is malformed
  */
 export function listVms(url: string): EitherAsync<Error, readonly ListedVm[]> {
     return EitherAsync(async () => {
