--- a/packages/endpoint/src/cache/PrefixIndex.ts
+++ b/packages/endpoint/src/cache/PrefixIndex.ts
@@ -10,7 +10,7 @@
 import { wordsOfHash } from "./wordsOfHash.js";
 
 const MAX_SLOT = 0xfffe;
-/** Maximum number of events kept for a resync; if more arrive, the next resync fails and must be repeated. */
+/** Maximum number of events kept for a resync; if more arrive, the next resync may fail and is repeated. */
 const MAX_PENDING_EVENTS = 1_024;
 
 /** What is known of the cache of an endpoint's current incarnation. */
@@ -30,8 +30,8 @@
  *
  * After a crash, an engine comes back on the same address with an empty cache while events from before the crash still
  * arrive. To prevent matches with entries of the dead engine, every entry belongs to one incarnation of an endpoint:
- * entries of the previous incarnation are under another slot, which is no longer looked up, and late events carry the
- * previous incarnation and are dropped.
+ * entries of the previous incarnation are removed when a new one starts, and late events carry the previous incarnation
+ * and are dropped.
  */
 export class PrefixIndex {
     readonly #partition = new IndexPartition();
