--- a/packages/endpoint/src/cache/followsItself.ts
+++ b/packages/endpoint/src/cache/followsItself.ts
@@ -14,9 +14,10 @@
 /**
  * Decides whether a VM follows an engine itself or relies on another VM to forward the engine's updates.
  *
- * If the forwarding VM dies or is cut off from this one, its updates stop. To prevent gaps, a VM that receives nothing
- * for its takeover delay follows the engine itself and forwards the updates. The delay grows with the rank, so that the
- * VMs of a failure domain do not all connect to the engine at once. A VM that has received nothing yet follows at once.
+ * If the forwarding VM dies or is cut off from this one, its updates are missing. Symptom: silence. To prevent this, a
+ * VM that receives nothing for its takeover delay follows the engine itself and forwards the updates. The delay grows
+ * with the rank, so that the VMs of a failure domain do not all connect to the engine at once. A VM that has received
+ * nothing yet follows at once.
  *
  * @param rank rank of this VM in the engine's order, 0 for the first
  * @param lastUpdate last update received about the engine; undefined if there is none
