--- a/packages/organisation/src/GeneratedKey.ts
+++ b/packages/organisation/src/GeneratedKey.ts
@@ -1,6 +1,6 @@
-/** A key just made. Only its digest is kept; the key is shown once. */
+/** A newly generated key. Only its digest is stored; the key itself is shown once. */
 export type GeneratedKey = {
-    /** The key itself, for its holder: never logged and never stored. */
+    /** The key, for its holder; never logged or stored. */
     readonly key: string;
     /** SHA-256 of the key in hexadecimal. */
     readonly digest: string;
--- a/packages/organisation/src/__tests__/unit/authenticate.test.ts
+++ b/packages/organisation/src/__tests__/unit/authenticate.test.ts
@@ -11,7 +11,7 @@
 const WITHDRAWN = newKey("caller", bytes(3));
 const OLD_ADMIN = newKey("admin", bytes(4));
 const SETTINGS_ADMIN = newKey("admin", bytes(5));
-const STRANGER = newKey("caller", bytes(6));
+const UNKNOWN = newKey("caller", bytes(6));
 
 const BEFORE = applyNote(
     emptyConfiguration,
@@ -36,10 +36,15 @@
     { title: "a valid key", cfg: CFG, key: CALLER.key, outcome: "c1" },
     { title: "a key before its withdrawal", cfg: BEFORE, key: WITHDRAWN.key, outcome: "c2" },
     { title: "a withdrawn key", cfg: CFG, key: WITHDRAWN.key, outcome: "withdrawn-key" },
-    { title: "an unknown key", cfg: CFG, key: STRANGER.key, outcome: "unknown-key" },
-    { title: "a digest in place of its key", cfg: CFG, key: CALLER.digest, outcome: "unknown-key" },
+    { title: "an unknown key", cfg: CFG, key: UNKNOWN.key, outcome: "unknown-key" },
+    { title: "a digest instead of its key", cfg: CFG, key: CALLER.digest, outcome: "unknown-key" },
     { title: "an admin key", cfg: CFG, key: ADMIN.key, outcome: "unknown-key" },
-    { title: "no configuration's key", cfg: emptyConfiguration, key: CALLER.key, outcome: "unknown-key" },
+    {
+        title: "a key that the configuration does not contain",
+        cfg: emptyConfiguration,
+        key: CALLER.key,
+        outcome: "unknown-key",
+    },
 ];
 
 CALLERS.forEach(({ title, cfg, key, outcome }) =>
@@ -55,8 +60,13 @@
     { title: "no key", cfg: CFG, key: undefined, outcome: "missing-key" },
     { title: "a valid key", cfg: CFG, key: ADMIN.key, outcome: "a1" },
     { title: "a withdrawn key", cfg: CFG, key: OLD_ADMIN.key, outcome: "withdrawn-key" },
-    { title: "a key of the settings", cfg: CFG, key: SETTINGS_ADMIN.key, outcome: "settings" },
-    { title: "a key of the settings before any release", cfg: undefined, key: SETTINGS_ADMIN.key, outcome: "settings" },
+    { title: "a key from the settings", cfg: CFG, key: SETTINGS_ADMIN.key, outcome: "settings" },
+    {
+        title: "a key from the settings before any release",
+        cfg: undefined,
+        key: SETTINGS_ADMIN.key,
+        outcome: "settings",
+    },
     { title: "a caller's key", cfg: CFG, key: CALLER.key, outcome: "unknown-key" },
     { title: "an unknown key", cfg: undefined, key: ADMIN.key, outcome: "unknown-key" },
 ];
@@ -68,7 +78,7 @@
     })
 );
 
-test("the two kinds of keys are told apart by their beginning", t => {
+test("keys of the two kinds have different prefixes", t => {
     t.regex(CALLER.key, /^ask_[A-Za-z0-9_-]{43}$/);
     t.regex(ADMIN.key, /^asa_[A-Za-z0-9_-]{43}$/);
     t.throws(() => newKey("caller", new Uint8Array(8)), { message: /^AS-101/ });
--- a/packages/organisation/src/authenticate.ts
+++ b/packages/organisation/src/authenticate.ts
@@ -7,11 +7,11 @@
 import { findKey } from "./findKey.js";
 
 /**
- * Tells which organisation a key belongs to.
+ * Finds the organisation that a key belongs to.
  *
  * @param cfg the configuration in force
- * @param key the key as the caller showed it; undefined when it showed none
- * @returns left `missing-key`, `unknown-key` or `withdrawn-key`; an admin key is unknown to callers' listeners
+ * @param key the key that the caller sent; undefined if it sent none
+ * @returns the key's owner; left `missing-key`, `unknown-key` or `withdrawn-key`. An admin key counts as unknown here
  */
 export function authenticate(cfg: Configuration, key: string | undefined): Either<Refusal, Caller> {
     if (key === undefined || key === "") {
--- a/packages/organisation/src/authenticateAdmin.ts
+++ b/packages/organisation/src/authenticateAdmin.ts
@@ -6,16 +6,16 @@
 import { findKey } from "./findKey.js";
 import { isSameDigest } from "./isSameDigest.js";
 
-/** Id that the records of an action show when its key came from the settings. */
+/** Key id recorded for an action whose key came from the settings. */
 const SETTINGS_KEY = KeyId.parse("settings");
 
 /**
- * Tells whether a key is one of an administrator's.
+ * Checks whether a key belongs to an administrator.
  *
- * @param cfg the configuration in force; undefined when there is none yet
+ * @param cfg the configuration in force; undefined if there is none yet
  * @param settingsDigests digests that the settings declare valid, for the time before the first release note
- * @param key the key as it was shown; undefined when none was
- * @returns the key's id; left `missing-key`, `unknown-key` or `withdrawn-key`; a caller's key is unknown here
+ * @param key the key that was sent; undefined if none was
+ * @returns the key's id; left `missing-key`, `unknown-key` or `withdrawn-key`. A caller's key counts as unknown here
  */
 export function authenticateAdmin(
     cfg: Configuration | undefined,
--- a/packages/organisation/src/findKey.ts
+++ b/packages/organisation/src/findKey.ts
@@ -4,8 +4,8 @@
 import { keyIndexOf } from "./keyIndexOf.js";
 
 /**
- * Finds a key by its digest. The look-up is by a digest that a caller cannot choose the beginning of, and the match is
- * compared in constant time.
+ * Finds a key by its digest. The time of the look-up reveals nothing useful, as a caller cannot choose the beginning of
+ * a digest; the match itself is compared in constant time.
  */
 export function findKey(keys: ReadonlyMap<string, KeySpec>, digest: string): KeySpec | undefined {
     const spec = keyIndexOf(keys).get(digest);
--- a/packages/organisation/src/index.ts
+++ b/packages/organisation/src/index.ts
@@ -1,4 +1,4 @@
-/** Keys of organisations and of administrators, and who a key belongs to. */
+/** Keys of organisations and administrators, and their authentication. */
 export { authenticate } from "./authenticate.js";
 export { authenticateAdmin } from "./authenticateAdmin.js";
 export type { Caller } from "./Caller.js";
--- a/packages/organisation/src/isSameDigest.ts
+++ b/packages/organisation/src/isSameDigest.ts
@@ -1,7 +1,7 @@
 import { timingSafeEqual } from "node:crypto";
 
 /**
- * Compares two digests in constant time. Guards against a caller that learns a valid digest bit by bit from how long a
+ * Compares two digests in constant time. Otherwise a caller could learn a valid digest bit by bit from the time that a
  * comparison takes.
  */
 export function isSameDigest(a: string, b: string): boolean {
--- a/packages/organisation/src/keyIndexOf.ts
+++ b/packages/organisation/src/keyIndexOf.ts
@@ -5,8 +5,8 @@
 const indexes = new WeakMap<Keys, ReadonlyMap<string, KeySpec>>();
 
 /**
- * Gives the index of some keys by their digests, built once for each set of keys: configurations that differ in other
- * things share it.
+ * Returns an index of keys by digest. It is built once per set of keys, so configurations that differ elsewhere share
+ * it.
  *
  * @param keys the valid or the withdrawn keys of a configuration
  */
