--- a/packages/membership/src/Departure.ts
+++ b/packages/membership/src/Departure.ts
@@ -1,10 +1,10 @@
 import type { Millis, VmId } from "@azureshunt/core";
 
-/** A VM of the own failure domain that left or was dropped: its organisations have another home now. */
+/** A VM of this VM's failure domain that left or was dropped, so that its organisations have another home now. */
 export type Departure = {
     readonly vm: VmId;
-    /** When the last grant that it can have given has run out. */
-    readonly clearAt: Millis;
-    /** From when buckets that it has not handed over count as empty. */
+    /** When the last grant that it can have issued has expired; a hand-over from it ends the wait at once. */
+    readonly waitUntil: Millis;
+    /** Time at which buckets that it has not handed over count as empty; they accrue from then on. */
     readonly emptyFrom: Millis;
 };
--- a/packages/membership/src/ListedVm.ts
+++ b/packages/membership/src/ListedVm.ts
@@ -1,6 +1,6 @@
 import type { FailureDomain, VmId } from "@azureshunt/core";
 
-/** A VM in the platform's list. */
+/** A VM as listed by the platform. */
 export type ListedVm = {
     readonly vm: VmId;
     readonly failureDomain: FailureDomain;
--- a/packages/membership/src/MembershipEvent.ts
+++ b/packages/membership/src/MembershipEvent.ts
@@ -3,27 +3,30 @@
 import type { ListedVm } from "./ListedVm.js";
 import type { MembershipRecord } from "./MembershipRecord.js";
 
-/** What the membership reacts to. */
+/** Event that changes the membership. */
 export type MembershipEvent =
     /** A page of the log was read. */
     | {
         readonly kind: "read";
-        /** Offset that the page begins at, and the offset after its last record. */
+        /** Offset at which the page begins. */
         readonly from: number;
+        /** Offset after its last record. */
         readonly next: number;
         readonly atEnd: boolean;
         readonly records: readonly { readonly offset: number; readonly record: MembershipRecord; }[];
     }
     /** The platform's list was read. */
     | { readonly kind: "listed"; readonly vms: readonly ListedVm[]; }
-    /** A VM of the own failure domain no longer acts as home for what is homed here. */
+    /** A VM of this failure domain has stopped serving as home of the organisations whose home is this VM now. */
     | {
         readonly kind: "handed-over";
         readonly from: VmId;
-        /** Milliseconds since which buckets not handed over have accrued; negative while it is still to wait. */
+        /**
+         * Time for which buckets that were not handed over have accrued; negative while grants have still to expire.
+         */
         readonly ageMs: Millis;
     }
-    /** Another VM was handed over to. */
+    /** This VM has handed over to another VM. */
     | { readonly kind: "gave"; readonly to: Incarnation; }
-    /** Comes several times a second. */
+    /** Sent several times per second. */
     | { readonly kind: "tick"; };
--- a/packages/membership/src/MembershipRecord.ts
+++ b/packages/membership/src/MembershipRecord.ts
@@ -2,16 +2,18 @@
 import { z } from "zod";
 
 /**
- * A record of the log stream `membership`. `join`: the run of a daemon is there; repeated before it expires. `leave`: it
- * stopped gracefully and handed its buckets over. `drop`: some VM saw that the platform lists this VM no longer.
+ * A record of the log stream `membership`. `join`: an incarnation of a daemon runs; repeated before the record expires.
+ * `leave`: it stopped gracefully and handed its buckets over. `drop`: another VM saw that the platform no longer lists
+ * it.
  */
 const MembershipRecord = z.object({
     kind: z.enum(["join", "leave", "drop"]),
     vm: VmId,
     run: Incarnation,
     failureDomain: FailureDomain,
-    /** Addresses of the peer and the administration listener. */
+    /** Address of the peer listener. */
     peer: z.string(),
+    /** Address of the administration listener. */
     admin: z.string(),
 });
 type MembershipRecord = z.infer<typeof MembershipRecord>;
--- a/packages/membership/src/__tests__/unit/servesFrom.test.ts
+++ b/packages/membership/src/__tests__/unit/servesFrom.test.ts
@@ -22,7 +22,7 @@
     admin: "",
 });
 const SELF = record("join", "vm-1", 1);
-/** An organisation whose home is vm-1 among vm-1 and vm-2, and one whose home is vm-2. */
+/** One organisation whose home is vm-1 and one whose home is vm-2, with both VMs as members. */
 const [MINE, OTHERS] = ["vm-1", "vm-2"].map(vm =>
     Array.from({ length: 100 }, (_, i) => OrganisationId.parse(`org-${i}`))
         .find(id => homeOf([SELF, record("join", "vm-2", 1)], id, NORTH) === vm)!
@@ -39,23 +39,23 @@
     events.reduce((membership, [at, event]) => stepMembership(membership, event, at).state, start);
 const opened = openMembership(SELF, KEEP_MS, 0);
 const alone = after(opened, [10, read(0, SELF)]);
-const settled = after(alone, [20, read(1, record("join", "vm-2", 1))]);
+const withPeer = after(alone, [20, read(1, record("join", "vm-2", 1))]);
 
-test("membership: the very first VM of a failure domain serves at once", t => {
+test("membership: the first VM of a failure domain serves at once", t => {
     t.is(servesFrom(alone, MINE, 10), -Infinity);
 });
 
-// A VM joins beside one that serves. Both would be home of the same organisation until the other hands over.
+// A VM joins while another serves. Until the other hands over, both would be home of the same organisation.
 test("membership: a VM serves only after the earlier ones have handed over", t => {
     const joined = after(opened, [10, read(0, record("join", "vm-2", 1), SELF)]);
     t.is(servesFrom(joined, MINE, 20), undefined);
-    const handed = after(joined, [30, { kind: "handed-over", from: VmId.parse("vm-2"), ageMs: 5 }]);
-    t.is(servesFrom(handed, MINE, 30), 25);
-    t.is(servesFrom(handed, OTHERS, 30), undefined);
+    const taken = after(joined, [30, { kind: "handed-over", from: VmId.parse("vm-2"), ageMs: 5 }]);
+    t.is(servesFrom(taken, MINE, 30), 25);
+    t.is(servesFrom(taken, OTHERS, 30), undefined);
 });
 
-// A daemon crashes and is back within a second. Other VMs still spend under the grants of its former run.
-test("membership: a restarted VM waits until its former run's grants have run out", t => {
+// A daemon crashes and is restarted within a second. Other VMs still spend grants of its former incarnation.
+test("membership: a restarted VM waits until the grants of its former incarnation have expired", t => {
     const restarted = after(opened, [10, read(0, record("join", "vm-1", 0), SELF)]);
     t.is(servesFrom(restarted, MINE, KEEP_MS - 1), undefined);
     t.is(servesFrom(restarted, MINE, KEEP_MS), KEEP_MS);
@@ -65,47 +65,47 @@
     { name: "dropped from the list", kind: "drop" as const },
     { name: "gone without handing over", kind: "leave" as const },
 ].forEach(({ name, kind }) =>
-    // A VM dies; its grants may be spent for as long as they live.
-    test(`membership: the next home waits out the grants of a VM that was ${name}`, t => {
-        const gone = after(settled, [100, read(2, record(kind, "vm-2", 1))]);
-        t.is(servesFrom(gone, OTHERS, 100 + KEEP_MS - 1), undefined);
-        t.is(servesFrom(gone, OTHERS, 100 + KEEP_MS), 100 + KEEP_MS);
-        t.is(servesFrom(gone, MINE, 101), -Infinity);
+    // A VM dies, and its grants may still be spent until they expire.
+    test(`membership: the next home waits until the grants of a VM have expired that was ${name}`, t => {
+        const departed = after(withPeer, [100, read(2, record(kind, "vm-2", 1))]);
+        t.is(servesFrom(departed, OTHERS, 100 + KEEP_MS - 1), undefined);
+        t.is(servesFrom(departed, OTHERS, 100 + KEEP_MS), 100 + KEEP_MS);
+        t.is(servesFrom(departed, MINE, 101), -Infinity);
     })
 );
 
-// A VM stops gracefully and hands over: nothing is to be waited for.
-test("membership: a VM that left and handed over is followed at once", t => {
-    const gone = after(
-        settled,
+// A VM stops gracefully and hands over, so there is nothing to wait for.
+test("membership: the next home serves at once after a VM has left and handed over", t => {
+    const departed = after(
+        withPeer,
         [100, read(2, record("leave", "vm-2", 1))],
         [110, { kind: "handed-over", from: VmId.parse("vm-2"), ageMs: 60 }],
     );
-    t.is(servesFrom(gone, OTHERS, 110), 50);
+    t.is(servesFrom(departed, OTHERS, 110), 50);
 });
 
-// A VM is paused for minutes, dropped and replaced meanwhile, and wakes up holding itself for home.
-test("membership: after a pause a VM serves only when log and list have confirmed it", t => {
+// A VM is suspended for a minute, dropped and replaced meanwhile, and still acts as home when it resumes.
+test("membership: after a suspension a VM serves only once log and list have confirmed its membership", t => {
     const list: MembershipEvent = {
         kind: "listed",
         vms: [{ vm: SELF.vm, failureDomain: NORTH, state: "live", peer: "", admin: "" }],
     };
-    const woken = after(alone, [100, { kind: "tick" }], [60_100, { kind: "tick" }]);
-    t.is(servesFrom(woken, MINE, 60_100), undefined);
-    t.is(servesFrom(after(woken, [60_110, list]), MINE, 60_110), undefined);
-    t.is(servesFrom(after(woken, [60_110, list], [60_120, read(1)]), MINE, 60_120), -Infinity);
-    const dropped = after(woken, [60_110, list], [60_120, read(1, record("drop", "vm-1", 1))]);
+    const resumed = after(alone, [100, { kind: "tick" }], [60_100, { kind: "tick" }]);
+    t.is(servesFrom(resumed, MINE, 60_100), undefined);
+    t.is(servesFrom(after(resumed, [60_110, list]), MINE, 60_110), undefined);
+    t.is(servesFrom(after(resumed, [60_110, list], [60_120, read(1)]), MINE, 60_120), -Infinity);
+    const dropped = after(resumed, [60_110, list], [60_120, read(1, record("drop", "vm-1", 1))]);
     t.is(servesFrom(dropped, MINE, 60_120), undefined);
 });
 
-// The platform is down: nothing is read, and the members stay as they were.
-test("membership: without list and log the members stay", t => {
-    const later = after(settled, [100, { kind: "tick" }], [200, { kind: "tick" }], [300, { kind: "tick" }]);
-    t.deepEqual([...later.members.keys()], [...settled.members.keys()]);
+// The platform is unavailable: nothing can be read, and the known members remain.
+test("membership: while list and log are unavailable the members remain", t => {
+    const later = after(withPeer, [100, { kind: "tick" }], [200, { kind: "tick" }], [300, { kind: "tick" }]);
+    t.deepEqual([...later.members.keys()], [...withPeer.members.keys()]);
     t.is(servesFrom(later, MINE, 300), -Infinity);
 });
 
-test("membership: a VM that has not settled vouches for nothing of before", t => {
+test("membership: a VM that waits for hand-overs or grants does not confirm earlier accrual", t => {
     t.true(vouchedAge(opened, 100) < 0);
-    t.is(vouchedAge(settled, 100), Infinity);
+    t.is(vouchedAge(withPeer, 100), Infinity);
 });
--- a/packages/membership/src/foldRecord.ts
+++ b/packages/membership/src/foldRecord.ts
@@ -23,15 +23,16 @@
         .map(member => member.vm);
 
 /**
- * Takes in this process's own join. A former run that neither left nor was dropped can have been home until this one
- * started, so its grants are waited out. With nobody to ask and nothing before in the log, no token was ever spent.
+ * Folds this incarnation's own join. A former incarnation that neither left nor was dropped may have been home until
+ * this one started, so this VM waits until its grants have expired. If there is no VM to ask for a hand-over and the
+ * complete log shows no earlier member of this failure domain, no token was ever spent.
  */
 const foldOwnJoin = (membership: Membership, offset: number): Membership => {
     const former = membership.members.get(membership.self.vm);
     const awaiting = domainPeers(membership);
-    const first = former === undefined && awaiting.length === 0 && membership.complete && !membership.hadDepartures;
-    const waitsOut = former !== undefined || (awaiting.length === 0 && !first);
-    const emptyFrom = waitsOut ? membership.startedAt + membership.keepMs : -Infinity;
+    const isFirst = former === undefined && awaiting.length === 0 && membership.complete && !membership.hadDepartures;
+    const mustWait = former !== undefined || (awaiting.length === 0 && !isFirst);
+    const emptyFrom = mustWait ? membership.startedAt + membership.keepMs : -Infinity;
     return { ...membership, joinedAt: offset, awaiting, emptyFrom, departures: [] };
 };
 
@@ -40,8 +41,8 @@
     if (members.get(record.vm)?.run === record.run) {
         return membership;
     }
-    const own = record.vm === self.vm && record.run === self.run;
-    const joined = own ? foldOwnJoin(membership, offset) : membership;
+    const isOwn = record.vm === self.vm && record.run === self.run;
+    const joined = isOwn ? foldOwnJoin(membership, offset) : membership;
     return { ...joined, members: new Map([...members, [record.vm, entryOf(record, now)]]) };
 };
 
@@ -52,24 +53,27 @@
         return membership;
     }
     const rest = new Map([...members].filter(([vm]) => vm !== record.vm));
-    const near = member.failureDomain === self.failureDomain;
+    const isSameDomain = member.failureDomain === self.failureDomain;
     if (record.vm === self.vm) {
-        // Dropped although it runs, or gone: it is home of nothing until it has joined anew.
+        // This VM was dropped although it runs, or has left: it is home of no organisation until it has joined again.
         const joinedAt = record.run === self.run ? undefined : membership.joinedAt;
         return { ...membership, members: rest, hadDepartures: true, joinedAt, appendedAt: undefined };
     }
     const departure: Departure = {
         vm: record.vm,
-        clearAt: now + membership.keepMs,
+        waitUntil: now + membership.keepMs,
         emptyFrom: now + membership.keepMs,
     };
-    const departures = [...membership.departures.filter(({ vm }) => vm !== record.vm), ...near ? [departure] : []];
+    const departures = [
+        ...membership.departures.filter(({ vm }) => vm !== record.vm),
+        ...isSameDomain ? [departure] : [],
+    ];
     const awaiting = membership.awaiting.filter(vm => vm !== record.vm);
-    const hadDepartures = membership.hadDepartures || near;
+    const hadDepartures = membership.hadDepartures || isSameDomain;
     return { ...membership, members: rest, departures, awaiting, hadDepartures };
 };
 
-/** Folds one record of the log. A record that was folded before changes nothing. */
+/** Folds one record of the log into the membership. A record that was folded before changes nothing. */
 export function foldRecord(
     membership: Membership,
     record: MembershipRecord,
--- a/packages/membership/src/homeOf.ts
+++ b/packages/membership/src/homeOf.ts
@@ -4,9 +4,9 @@
 import type { MemberEntry } from "./MemberEntry.js";
 
 /**
- * The home VM of an organisation in a failure domain.
+ * Returns the home VM of an organisation in a failure domain; undefined if the domain has no members.
  *
- * @param members the members as folded from the log; the platform's list takes no part, as each VM sees another one
+ * @param members the members as folded from the log; the platform's list is not used, as VMs may see different lists
  */
 export function homeOf(
     members: Iterable<Pick<MemberEntry, "vm" | "failureDomain">>,
--- a/packages/membership/src/index.ts
+++ b/packages/membership/src/index.ts
@@ -1,4 +1,4 @@
-/** Which VMs exist, and which of them is home for what. */
+/** Members of the installation, and the home VM of each organisation. */
 export { homeOf } from "./homeOf.js";
 export type { ListedVm } from "./ListedVm.js";
 export type { MemberEntry } from "./MemberEntry.js";
--- a/packages/membership/src/openMembership.ts
+++ b/packages/membership/src/openMembership.ts
@@ -4,10 +4,10 @@
 import type { MembershipRecord } from "./MembershipRecord.js";
 
 /**
- * Begins with no members known.
+ * Creates a membership without any known members.
  *
  * @param self this VM's join record
- * @param keepMs time that a giver of grants counts them as unspent
+ * @param keepMs time for which a home counts its grants as outstanding
  */
 export function openMembership(self: MembershipRecord, keepMs: Millis, now: Millis): Membership {
     return {
--- a/packages/membership/src/stepMembership.ts
+++ b/packages/membership/src/stepMembership.ts
@@ -18,16 +18,16 @@
         ? []
         : membership.awaiting.map(of => ({ kind: "ask-hand-over", of, joinedAt: membership.joinedAt ?? 0 }));
 
-const joinIsDue = (membership: Membership, now: Millis): boolean => {
+const isJoinDue = (membership: Membership, now: Millis): boolean => {
     const { appendedAt, joinedAt } = membership;
-    const pause = joinedAt === undefined ? timing.rejoinMs : timing.refreshMs;
-    return membership.caughtUp && (appendedAt === undefined || appendedAt + pause <= now);
+    const intervalMs = joinedAt === undefined ? timing.rejoinMs : timing.refreshMs;
+    return membership.caughtUp && (appendedAt === undefined || appendedAt + intervalMs <= now);
 };
 
 const read = (before: Membership, event: EventOf<"read">, now: Millis): MembershipStep => {
     const folded = event.records.reduce(
         (membership, { record, offset }) => foldRecord(membership, record, offset, now),
-        // Records between what was folded and the start of the log have expired.
+        // If the page begins after the last folded record, the records in between have expired.
         { ...before, complete: before.complete && event.from <= before.offset },
     );
     const isMember = folded.members.get(folded.self.vm)?.run === folded.self.run;
@@ -38,7 +38,7 @@
         confirmedByLog: before.confirmedByLog || (event.atEnd && isMember),
     };
     const joined = before.joinedAt === undefined ? askHandOvers(state) : [];
-    const due = joinIsDue(state, now);
+    const due = isJoinDue(state, now);
     const append: readonly MembershipEffect[] = due ? [{ kind: "append", record: state.self }] : [];
     const changed = state.members !== before.members || state.confirmedByLog !== before.confirmedByLog ||
         state.caughtUp !== before.caughtUp;
@@ -48,7 +48,7 @@
     };
 };
 
-const missingOf = (member: MemberEntry, present: boolean, now: Millis): Millis | undefined => {
+const missingSinceOf = (member: MemberEntry, present: boolean, now: Millis): Millis | undefined => {
     const due = member.listed || member.since + timing.listLagMs <= now;
     return present || !due ? undefined : member.missingSince ?? now;
 };
@@ -79,7 +79,7 @@
             ...member,
             state,
             listed: member.listed || present,
-            missingSince: missingOf(member, present, now),
+            missingSince: missingSinceOf(member, present, now),
         }];
     }));
     const confirmedByList = before.confirmedByList || entries.has(before.self.vm);
@@ -98,28 +98,28 @@
             effects: [CHANGED],
         };
     }
-    // A VM that left gracefully: nothing of its is to be waited out.
+    // The VM left gracefully, so there is no need to wait for its grants to expire.
     const departures = before.departures.map(departure =>
         departure.vm === event.from
-            ? { ...departure, clearAt: now, emptyFrom: Math.min(departure.emptyFrom, since) }
+            ? { ...departure, waitUntil: now, emptyFrom: Math.min(departure.emptyFrom, since) }
             : departure
     );
     return { state: { ...before, departures }, effects: [CHANGED] };
 };
 
 /**
- * Notices a pause of this process. Failure guarded against: a paused process wakes up, holds itself for home still, and
- * spends beside the VM that has become home meanwhile. The jump between two ticks shows the pause, and all spending as
- * home stops until both list and log have named this run as a member after it.
+ * Detects a suspension of this process. A process that resumes after a suspension would still act as home, and spend in
+ * addition to the VM that has become home meanwhile. To prevent this, a long time between two ticks counts as a
+ * suspension, and this VM does not serve as home until both list and log have shown it as a member afterwards.
  */
 const tick = (before: Membership, now: Millis): MembershipStep => {
-    const paused = now - before.tickedAt > timing.pauseMs;
-    const due = joinIsDue(before, now);
+    const wasSuspended = now - before.tickedAt > timing.suspensionMs;
+    const due = isJoinDue(before, now);
     const state: Membership = {
         ...before,
         tickedAt: now,
-        confirmedByLog: before.confirmedByLog && !paused,
-        confirmedByList: before.confirmedByList && !paused,
+        confirmedByLog: before.confirmedByLog && !wasSuspended,
+        confirmedByList: before.confirmedByList && !wasSuspended,
         appendedAt: due ? now : before.appendedAt,
     };
     return {
@@ -127,12 +127,14 @@
         effects: [
             ...due ? [{ kind: "append", record: before.self } as const] : [],
             ...askHandOvers(state),
-            ...paused ? [CHANGED] : [],
+            ...wasSuspended ? [CHANGED] : [],
         ],
     };
 };
 
-/** The rule of the membership. While neither log nor list can be read, nothing comes in and the members stay as they are. */
+/**
+ * Applies one event to the membership. While neither log nor list can be read, there are no events that change members.
+ */
 export function stepMembership(before: Membership, event: MembershipEvent, now: Millis): MembershipStep {
     switch (event.kind) {
         case "read":
