--- a/packages/allowance/src/Allowance.ts
+++ b/packages/allowance/src/Allowance.ts
@@ -6,7 +6,7 @@
 import type { Limits } from "./Limits.js";
 import type { Waiter } from "./Waiter.js";
 
-/** What one VM knows of one organisation's allowance. It exists only while the organisation is in use here. */
+/** State that one VM keeps of one organisation's allowance. It exists only while the organisation is in use here. */
 export type Allowance = {
     readonly vm: VmId;
     readonly run: Incarnation;
@@ -15,21 +15,24 @@
     readonly limits: Limits;
     /** One home for each failure domain that has VMs. */
     readonly homes: readonly Home[];
-    /** Set while this VM may act as home in its domain: the moment from which a bucket opened anew has accrued. */
+    /**
+     * Set while this VM may act as home in its domain: the time from which a newly opened bucket counts as having
+     * accrued tokens.
+     */
     readonly servesFrom: Millis | undefined;
-    /** Since when this VM is home but may not serve. */
+    /** Since when this VM is home but may not serve yet. */
     readonly barredSince: Millis | undefined;
     readonly bucket: Bucket | undefined;
     readonly held: readonly HeldGrant[];
-    /** First come, first served. */
+    /** Waiting requests in order of arrival. */
     readonly waiters: readonly Waiter[];
-    /** Tokens used beyond what was charged, to be charged with the next request. */
+    /** Tokens used beyond what was charged; they are charged with the next request. */
     readonly debt: Tokens;
-    /** Reservations not settled yet. */
+    /** Number of admitted requests whose charge is not settled yet. */
     readonly inFlight: number;
-    /** Tokens a second spent here lately, as of `spentAt`. */
+    /** Tokens per second spent on this VM recently, as of `spentAt`. */
     readonly demand: Tokens;
     readonly spentAt: Millis;
-    /** When a request was last refused; homes are asked less often for a moment after it. */
-    readonly strainedAt: Millis | undefined;
+    /** When a request was last refused; for a short time after it, homes are asked less often. */
+    readonly lastRefusedAt: Millis | undefined;
 };
--- a/packages/allowance/src/ChargePart.ts
+++ b/packages/allowance/src/ChargePart.ts
@@ -1,10 +1,10 @@
 import type { Incarnation, Tokens, VmId } from "@azureshunt/core";
 
-/** Where a part of a charge was taken from, so that what is not used goes back there. */
+/** Part of a charge with the home it was taken from, so that unused tokens are refunded there. */
 export type ChargePart = {
     readonly home: VmId;
-    readonly homeRun: Incarnation | undefined;
-    /** Slot of the home's clock at or before the charge. */
+    readonly homeIncarnation: Incarnation | undefined;
+    /** Slot, by the home's clock, at or before the charge. */
     readonly slot: number;
     readonly tokens: Tokens;
 };
--- a/packages/allowance/src/GrantAnswer.ts
+++ b/packages/allowance/src/GrantAnswer.ts
@@ -2,21 +2,21 @@
 
 /** A home's answer to an ask for tokens. */
 export type GrantAnswer = {
-    /** The ask that this answers. */
+    /** Sequence number of the ask that this answers. */
     readonly seq: number;
-    /** The home's process. */
+    /** Incarnation of the home. */
     readonly run: Incarnation;
-    /** Whether the tokens that the asker held stay valid, now counted from this ask. */
+    /** Whether the tokens that the asking VM held stay valid, for another grant time from this ask. */
     readonly extended: boolean;
     readonly granted: Tokens;
-    /** Slot of the home's clock, to be sent back with refunds. */
+    /** Current slot by the home's clock; the asking VM sends it back with refunds. */
     readonly slot: number;
     /** Tokens left in the bucket. */
     readonly free: Tokens;
-    /** Tokens a second that the bucket accrues. */
+    /** Tokens per second that the bucket accrues. */
     readonly rate: Tokens;
-    /** Tokens that other VMs hold and were just asked to hand back. */
+    /** Tokens of this bucket that other VMs hold. They are recalled if the need was not met. */
     readonly elsewhere: Tokens;
-    /** Tokens lacking to requests at other VMs that came before the asker's. */
+    /** Tokens that requests waiting at other VMs lack, where they came before those of the asking VM. */
     readonly unmet: Tokens;
 };
--- a/packages/allowance/src/HandedBucket.ts
+++ b/packages/allowance/src/HandedBucket.ts
@@ -1,10 +1,10 @@
 import type { Millis, Tokens } from "@azureshunt/core";
 
-/** What a former home tells the new one of a bucket. */
+/** State of a bucket that a former home hands over to the new one. */
 export type HandedBucket = {
     readonly balance: Tokens;
-    /** Tokens that stand out under the former home's grants. */
+    /** Tokens outstanding under the former home's grants. */
     readonly outstanding: Tokens;
-    /** Milliseconds until the last of these grants has run out. */
+    /** Milliseconds until the last of these grants expires. */
     readonly lapsesIn: Millis;
 };
--- a/packages/allowance/src/HomeView.ts
+++ b/packages/allowance/src/HomeView.ts
@@ -1,16 +1,17 @@
 import type { Millis, Tokens, VmId } from "@azureshunt/core";
 
-/** What one VM knows of a home, for logs. */
+/** State of a home as known to one VM, for logs. */
 export type HomeView = {
     readonly home: VmId;
     /**
-     * `here`: it is this VM; `barred`: it is this VM, which may not serve yet; `declining` and `unanswered`: how its latest ask
-     * ended; `unheard`: it has not told anything lately; `heard`: it has.
+     * `here`: this VM is the home; `barred`: this VM is the home but may not serve yet; `declining` and `unanswered`:
+     * how the latest ask to it ended; `heard`: it answered recently; `unheard`: it has never answered, or not recently.
      */
     readonly state: "here" | "barred" | "declining" | "unanswered" | "unheard" | "heard";
-    /** Time in this state; of the last answer for those that were heard. */
+    /** Time in this state; for `heard` and `unheard`, time since its last answer. */
     readonly forMs: Millis;
-    /** Tokens free in its bucket when it last told, and those that other VMs held. */
+    /** Tokens free in its bucket as of its last answer. */
     readonly free: Tokens;
+    /** Tokens of its bucket that other VMs held then. */
     readonly elsewhere: Tokens;
 };
--- a/packages/allowance/src/Limits.ts
+++ b/packages/allowance/src/Limits.ts
@@ -1,8 +1,8 @@
 import type { Tokens } from "@azureshunt/core";
 
-/** What an organisation, or one failure domain's share of it, may spend. */
+/** Spending limits of an organisation, or of one failure domain's share of it. */
 export type Limits = {
-    /** Tokens a second. */
+    /** Tokens per second. */
     readonly rate: Tokens;
     /** Tokens that may be spent at once. */
     readonly burst: Tokens;
--- a/packages/allowance/src/Waiter.ts
+++ b/packages/allowance/src/Waiter.ts
@@ -2,14 +2,14 @@
 
 /** A request that waits for tokens. */
 export type Waiter = {
-    /** Number that the caller of the aggregate gave it. */
+    /** Number given by the caller of `stepAllowance`. */
     readonly id: number;
     readonly tokens: Tokens;
     readonly since: Millis;
-    /** When it must have been admitted, whether homes have told anything or not. */
+    /** Time by which it is admitted or refused, whether or not homes have answered. */
     readonly until: Millis;
-    /** Until when it may wait for a home that has just taken over and does not serve yet. */
-    readonly settledBy: Millis;
-    /** Rounds of asking that have been sent since it came. */
+    /** Time until which it may wait for a home that has just taken over and does not serve yet. */
+    readonly takeoverDeadline: Millis;
+    /** Number of times that homes have been asked since it arrived. */
     readonly rounds: number;
 };
--- a/packages/allowance/src/__tests__/fleet/SimulatedVm.ts
+++ b/packages/allowance/src/__tests__/fleet/SimulatedVm.ts
@@ -3,15 +3,15 @@
 
 import type { Allowance } from "../../Allowance.js";
 
-/** One VM of a simulated fleet; its fields change as the run goes on. */
+/** One simulated VM; its fields change during the simulation. */
 export type SimulatedVm = {
     readonly vm: VmId;
     readonly domain: FailureDomain;
-    /** How much slower than real time its clock runs. */
+    /** Speed of its clock as a fraction of real time. */
     readonly clockRate: number;
-    /** Counts processes; 0 while none runs. */
+    /** Number of the current process; 0 while none runs. */
     process: number;
-    pausedUntil: number;
+    suspendedUntil: number;
     wakesAt: number;
     membership: Membership;
     allowance: Allowance;
--- a/packages/allowance/src/__tests__/fleet/Spend.ts
+++ b/packages/allowance/src/__tests__/fleet/Spend.ts
@@ -1,2 +1,2 @@
-/** Tokens used at a moment, and the like for refusals. */
+/** Tokens used, or refused, at a point in time. */
 export type Spend = { readonly at: number; readonly tokens: number; };
--- a/packages/allowance/src/__tests__/fleet/createAgenda.ts
+++ b/packages/allowance/src/__tests__/fleet/createScheduler.ts
@@ -1,12 +1,12 @@
-/** What is to happen in a simulated run, in order of time. */
-type Agenda = {
+/** Runs the actions of a simulation in order of time. */
+type Scheduler = {
     readonly now: () => number;
     readonly at: (time: number, action: () => void) => void;
     readonly run: (until: number) => void;
 };
 
-/** Creates an agenda that begins at time 0. Actions of the same time run in the order in which they were added. */
-export function createAgenda(): Agenda {
+/** Creates a scheduler that starts at time 0. Actions at the same time run in the order in which they were added. */
+export function createScheduler(): Scheduler {
     const clock = { now: 0, added: 0 };
     const heap: { readonly time: number; readonly order: number; readonly action: () => void; }[] = [];
     const isBefore = (a: number, b: number): boolean => {
--- a/packages/allowance/src/__tests__/fleet/mostOver.ts
+++ b/packages/allowance/src/__tests__/fleet/maxExcess.ts
@@ -1,10 +1,10 @@
 import type { Spend } from "./Spend.js";
 
 /**
- * The most by which any interval's spending exceeds burst + rate · length; 0 or less when it keeps to it. A token bucket
- * that starts full and is spent from the same way goes below zero by just that.
+ * Returns the most by which the spending in any interval exceeds burst + rate · length; 0 or less if none exceeds it. A
+ * token bucket that starts full and is charged with the same spending falls below zero by exactly this amount.
  */
-export function mostOver(spends: readonly Spend[], rate: number, burst: number): number {
+export function maxExcess(spends: readonly Spend[], rate: number, burst: number): number {
     const sorted = [...spends].sort((a, b) => a.at - b.at);
     const start = { level: burst, at: sorted[0]?.at ?? 0, over: -Infinity };
     return sorted.reduce((sofar, spend) => {
--- a/packages/allowance/src/__tests__/fleet/randomFrom.ts
+++ b/packages/allowance/src/__tests__/fleet/randomFrom.ts
@@ -1,4 +1,4 @@
-/** A repeatable source of numbers in [0, 1), by the generator mulberry32. */
+/** Creates a repeatable source of numbers in [0, 1) with the generator mulberry32. */
 export function randomFrom(seed: number): () => number {
     const state = { value: seed | 0 };
     return () => {
--- a/packages/allowance/src/__tests__/unit/guards.test.ts
+++ b/packages/allowance/src/__tests__/unit/guards.test.ts
@@ -16,13 +16,13 @@
 import { timing } from "../../timing.js";
 import { usableTokens } from "../../usableTokens.js";
 
-const TAKER = VmId.parse("vm-2");
-const HOME_RUN = Incarnation.parse("home-1");
+const HOLDER = VmId.parse("vm-2");
+const HOME_INCARNATION = Incarnation.parse("home-1");
 const LIMITS = { rate: 1_000, burst: 10_000 };
-const NOBODY = { unmet: 0, since: Infinity };
+const NO_OWN_CLAIM = { unmet: 0, since: Infinity };
 const ASK: GrantAsk = {
-    run: Incarnation.parse("taker-1"),
-    home: HOME_RUN,
+    run: Incarnation.parse("holder-1"),
+    home: HOME_INCARNATION,
     seq: 1,
     applied: 0,
     held: 0,
@@ -35,16 +35,16 @@
 const HELD: HeldGrant = {
     domain: FailureDomain.parse("north"),
     home: VmId.parse("vm-1"),
-    homeRun: HOME_RUN,
+    homeIncarnation: HOME_INCARNATION,
     left: 100,
-    counted: 100,
+    outstandingAtHome: 100,
     expiresAt: 500,
     slot: 0,
     seq: 7,
     applied: 6,
     pendingSince: 1_000,
     askedAt: 1_000,
-    heardAt: 0,
+    answeredAt: 0,
     answerMs: 0,
     failedAt: undefined,
     decliningSince: undefined,
@@ -56,7 +56,7 @@
 };
 const ANSWER: GrantAnswer = {
     seq: 7,
-    run: HOME_RUN,
+    run: HOME_INCARNATION,
     extended: false,
     granted: 4_000,
     slot: 1,
@@ -67,62 +67,66 @@
 };
 
 const full = openBucket(LIMITS, -Infinity, 0);
-const granted = answerAsk(full, TAKER, ASK, HOME_RUN, NOBODY, 0).bucket;
+const granted = answerAsk(full, HOLDER, ASK, HOME_INCARNATION, NO_OWN_CLAIM, 0).bucket;
 
-// An ask is delivered again, seconds late. Its tokens, handed back or granted, would count twice.
+// An ask is delivered again, seconds late. The tokens that it hands back or is granted would count twice.
 test("bucket: a repeated ask has no effect", t => {
-    const again = answerAsk(granted, TAKER, ASK, HOME_RUN, NOBODY, 10);
+    const again = answerAsk(granted, HOLDER, ASK, HOME_INCARNATION, NO_OWN_CLAIM, 10);
     t.is(again.answer, undefined);
     t.is(levelOf(again.bucket), levelOf(advanceBucket(granted, 10)));
 });
 
-// A VM hands back more than the home ever counted as outstanding: an old message of tokens that ran out meanwhile.
-test("bucket: no more comes back than stands out", t => {
+// A late message hands back tokens that have expired meanwhile, so the home no longer counts them as outstanding.
+test("bucket: no more tokens are credited than are outstanding", t => {
     const late = { ...ASK, seq: 2, applied: 1, giveBack: 4_000, need: 0 };
-    const returned = answerAsk(granted, TAKER, late, HOME_RUN, NOBODY, timing.keepMs + 1).bucket;
+    const returned = answerAsk(granted, HOLDER, late, HOME_INCARNATION, NO_OWN_CLAIM, timing.keepMs + 1).bucket;
     t.is(Math.round(returned.balance), 6_000 + LIMITS.rate / 1_000);
 });
 
-// Tokens are granted and not spent yet; the home accrues them anew; then both are spent at once.
-test("bucket: nothing accrues for tokens that stand out", t => {
+// If the home accrued tokens in place of granted ones that are not spent yet, both could be spent at once.
+test("bucket: nothing accrues in place of outstanding tokens", t => {
     t.true(levelOf(advanceBucket(granted, timing.keepMs - 1)) <= LIMITS.burst);
     t.is(advanceBucket(granted, timing.keepMs - 1).balance, 6_000);
     t.true(advanceBucket(granted, timing.keepMs + 2_000).balance > 6_000);
 });
 
-// An answer gets lost after the home has granted. The taker's next ask says so, and the tokens are not lost for good.
-test("bucket: a grant whose answer never came is void", t => {
-    const second = answerAsk(granted, TAKER, { ...ASK, seq: 2, applied: 1, need: 1_000 }, HOME_RUN, NOBODY, 0).bucket;
+// An answer is lost after the home has granted tokens. The holder's next ask shows this, and the tokens are credited.
+test("bucket: a grant whose answer never arrived is void", t => {
+    const second =
+        answerAsk(granted, HOLDER, { ...ASK, seq: 2, applied: 1, need: 1_000 }, HOME_INCARNATION, NO_OWN_CLAIM, 0)
+            .bucket;
     t.is(second.balance, 5_000);
-    const third = answerAsk(second, TAKER, { ...ASK, seq: 3, applied: 1, need: 0 }, HOME_RUN, NOBODY, 0).bucket;
+    const third =
+        answerAsk(second, HOLDER, { ...ASK, seq: 3, applied: 1, need: 0 }, HOME_INCARNATION, NO_OWN_CLAIM, 0).bucket;
     t.is(third.balance, 6_000);
 });
 
-// An organisation comes back after an idle second, and its asks pass for repetitions or its spent grant for a lost one.
-test("bucket: a taker that had forgotten the organisation is served, and its spent grant stays spent", t => {
+// When an organisation returns after an idle second, its asks could be taken for repeated ones, or its spent grant for
+// lost.
+test("bucket: a holder that had forgotten the organisation is served, and its spent grant stays spent", t => {
     const home = { domain: HELD.domain, vm: HELD.home, limits: LIMITS };
-    const start = { vm: TAKER, run: ASK.run, domain: HELD.domain, limits: LIMITS, homes: [home], now: 0 };
+    const start = { vm: HOLDER, run: ASK.run, domain: HELD.domain, limits: LIMITS, homes: [home], now: 0 };
     const forgotten = openAllowance({ ...start, servesFrom: undefined });
     const asks = [1, 1_300].map(now => {
         const [effect] = askHome(forgotten, home, { need: 1_000, ahead: 0, giveBack: 0 }, now).effects;
         return effect?.kind === "ask" ? effect.ask : ASK;
     });
-    const first = answerAsk(full, TAKER, asks[0]!, HOME_RUN, NOBODY, 1).bucket;
-    const second = answerAsk(first, TAKER, asks[1]!, HOME_RUN, NOBODY, 1_300);
+    const first = answerAsk(full, HOLDER, asks[0]!, HOME_INCARNATION, NO_OWN_CLAIM, 1).bucket;
+    const second = answerAsk(first, HOLDER, asks[1]!, HOME_INCARNATION, NO_OWN_CLAIM, 1_300);
     t.is(second.answer?.granted, 1_000);
     t.is(second.bucket.balance, 8_000);
 });
 
-// A VM is restarted: its new process asks for the first time. What the former one held may still be on its way out.
-test("bucket: a restarted taker's former grant lapses on its own", t => {
-    const restarted = { ...ASK, run: Incarnation.parse("taker-2"), need: 0 };
-    const next = answerAsk(granted, TAKER, restarted, HOME_RUN, NOBODY, 10).bucket;
+// A VM is restarted and its new process asks for the first time. Tokens that the former one held may still be in use.
+test("bucket: the former grant of a restarted holder is left to expire", t => {
+    const restarted = { ...ASK, run: Incarnation.parse("holder-2"), need: 0 };
+    const next = answerAsk(granted, HOLDER, restarted, HOME_INCARNATION, NO_OWN_CLAIM, 10).bucket;
     t.is(levelOf(next), LIMITS.burst);
     t.is(next.balance, 6_000);
 });
 
-// A long request is charged 5,000, the bucket fills up again, all of it is spent, then 4,900 come back.
-test("bucket: a refund is cut to the room that there was since the charge", t => {
+// A long request is charged 5,000, the bucket fills up again and is spent entirely, and then 4,900 are refunded.
+test("bucket: a refund is capped by the room in the bucket since the charge", t => {
     const later = 20_000;
     const charged = { ...advanceBucket(full, 2_000), balance: 5_000 };
     const filled = advanceBucket(charged, later);
@@ -137,24 +141,24 @@
     { name: "the answer to an earlier ask", held: HELD, answer: { ...ANSWER, seq: 6 } },
     { name: "the same answer again", held: applyAnswer(HELD, ANSWER, 1_010), answer: ANSWER },
 ].forEach(({ name, held, answer }) =>
-    // The taker has told the home that it will not use this answer, so the home counts its tokens as void.
+    // The holder's asks show that it will not use this answer, so the home counts its tokens as void.
     test(`grant: ${name} is ignored`, t => {
         t.is(applyAnswer(held, answer, 1_200).left, held.left);
     })
 );
 
-// A message that hands tokens back is lost, or comes late. Still held here, they would be spent at two VMs.
-test("grant: tokens that are handed back are gone before the message leaves", t => {
+// A message that hands tokens back is lost or late. If the tokens were still held here, they could be spent at two VMs.
+test("grant: tokens that are handed back are debited before the message is sent", t => {
     const home = { domain: HELD.domain, vm: HELD.home, limits: LIMITS };
-    const start = { vm: TAKER, run: ASK.run, domain: HELD.domain, limits: LIMITS, homes: [home], now: 0 };
+    const start = { vm: HOLDER, run: ASK.run, domain: HELD.domain, limits: LIMITS, homes: [home], now: 0 };
     const held = { ...HELD, pendingSince: undefined };
     const allowance = { ...openAllowance({ ...start, servesFrom: undefined }), held: [held] };
     const { state } = askHome(allowance, home, { need: 0, ahead: 0, giveBack: 60 }, 400);
     t.is(state.held[0]?.left, 40);
 });
 
-// A grant is counted from a late answer, and its tokens are spent after the home has accrued them anew.
-test("grant: it expires counted from when it was asked for", t => {
+// If a grant's lifetime began with a late answer, its tokens could be spent after the home has accrued them again.
+test("grant: its lifetime starts when it was asked for", t => {
     const late = applyAnswer(HELD, ANSWER, 1_000 + timing.grantMs - 10);
     t.is(usableTokens(late, 1_000 + timing.grantMs - 5), 4_000);
     t.is(usableTokens(late, 1_000 + timing.grantMs), 0);
--- a/packages/allowance/src/__tests__/unit/judgeWaiter.test.ts
+++ b/packages/allowance/src/__tests__/unit/judgeWaiter.test.ts
@@ -4,10 +4,17 @@
 import type { Outlook } from "../../Outlook.js";
 import { timing } from "../../timing.js";
 
-const WAITER = { id: 1, tokens: 1_000, since: 0, until: timing.maxWaitMs, settledBy: timing.settleMs, rounds: 1 };
+const WAITER = {
+    id: 1,
+    tokens: 1_000,
+    since: 0,
+    until: timing.maxWaitMs,
+    takeoverDeadline: timing.takeoverMs,
+    rounds: 1,
+};
 const OUTLOOK: Outlook = {
-    informed: true,
-    settling: false,
+    isInformed: true,
+    isTakingOver: false,
     free: 0,
     recallable: 0,
     unmet: 0,
@@ -16,41 +23,46 @@
     unreachableRate: 0,
 };
 
-// A caller comes back when it was told to and is refused again, as those before it were left out of the wait.
+// If requests that came before are left out of the computed wait, a caller that retries on time is refused again.
 [
-    { name: "tokens that accrue in time", missing: 400, outlook: OUTLOOK, verdict: { kind: "wait", expectedMs: 400 } },
     {
-        name: "tokens that other VMs hand back",
+        name: "waits for tokens that accrue in time",
+        missing: 400,
+        outlook: OUTLOOK,
+        verdict: { kind: "wait", expectedMs: 400 },
+    },
+    {
+        name: "waits for tokens that other VMs hand back",
         missing: 900,
         outlook: { ...OUTLOOK, recallable: 900 },
-        verdict: { kind: "wait", expectedMs: timing.askAgainMs },
+        verdict: { kind: "wait", expectedMs: timing.askIntervalMs },
     },
     {
-        name: "homes not heard yet",
+        name: "waits for homes that have not answered yet",
         missing: 9_000,
-        outlook: { ...OUTLOOK, informed: false },
-        verdict: { kind: "wait", expectedMs: timing.askAgainMs },
+        outlook: { ...OUTLOOK, isInformed: false },
+        verdict: { kind: "wait", expectedMs: timing.askIntervalMs },
     },
     {
-        name: "a second and a bit",
+        name: "rounds the retry time up to whole seconds",
         missing: 1_200,
         outlook: OUTLOOK,
         verdict: { kind: "refuse", reason: "over-rate", retryAfterSeconds: 2 },
     },
     {
-        name: "others that came before",
+        name: "adds the requests that came before to the retry time",
         missing: 1_200,
         outlook: { ...OUTLOOK, unmet: 2_000 },
         verdict: { kind: "refuse", reason: "over-rate", retryAfterSeconds: 4 },
     },
     {
-        name: "tokens in a domain that is cut off",
+        name: "is refused as unreachable if a domain that is cut off has the tokens",
         missing: 1_200,
         outlook: { ...OUTLOOK, unreachableBurst: 2_000, unreachableRate: 500 },
         verdict: { kind: "refuse", reason: "allowance-unreachable", retryAfterSeconds: 2 },
     },
     {
-        name: "more than even the domain that is cut off holds",
+        name: "is refused as over rate if even the domain that is cut off has too few tokens",
         missing: 9_000,
         outlook: { ...OUTLOOK, unreachableBurst: 2_000, unreachableRate: 500 },
         verdict: { kind: "refuse", reason: "over-rate", retryAfterSeconds: 9 },
@@ -62,8 +74,8 @@
     })
 );
 
-// A home that never answers must not hold a refusal back beyond the longest wait.
-test("waiter: at the end of its time it is refused, informed or not", t => {
-    const verdict = judgeWaiter(WAITER, 900, { ...OUTLOOK, informed: false }, WAITER.until);
+// A home that never answers must not delay a refusal beyond the maximum wait.
+test("waiter: is refused at the end of its wait, even if homes have not answered", t => {
+    const verdict = judgeWaiter(WAITER, 900, { ...OUTLOOK, isInformed: false }, WAITER.until);
     t.is(verdict.kind, "refuse");
 });
--- a/packages/allowance/src/answerAsk.ts
+++ b/packages/allowance/src/answerAsk.ts
@@ -5,37 +5,37 @@
 import { claimedBefore } from "./claimedBefore.js";
 import type { GrantAnswer } from "./GrantAnswer.js";
 import type { GrantAsk } from "./GrantAsk.js";
-import { notePeak } from "./notePeak.js";
+import type { HolderAccount } from "./HolderAccount.js";
 import { outstandingOf } from "./outstandingOf.js";
+import { recordPeak } from "./recordPeak.js";
 import { refundToBucket } from "./refundToBucket.js";
 import { slotAt } from "./slotAt.js";
-import type { TakerAccount } from "./TakerAccount.js";
 import { timing } from "./timing.js";
 
-/** What an ask leads to; `answer` is undefined for a repeated or overtaken ask, which must have no effect. */
+/** Outcome of an ask; `answer` is undefined for a repeated or overtaken ask, which must have no effect. */
 type Answered = {
     readonly bucket: Bucket;
     readonly answer: GrantAnswer | undefined;
     readonly recalls: readonly VmId[];
 };
 
-/** What the home's own waiting requests lack, and when the oldest of them came. */
+/** Tokens that requests waiting at the home itself lack, and when the oldest of them arrived. */
 type OwnClaim = { readonly unmet: Tokens; readonly since: Millis; };
 
-const settle = (bucket: Bucket, ask: GrantAsk, before: TakerAccount | undefined, now: Millis): Bucket => {
+const creditReturns = (bucket: Bucket, ask: GrantAsk, before: HolderAccount | undefined, now: Millis): Bucket => {
     const outstanding = before?.outstanding ?? 0;
-    // A taker that has forgotten the organisation in between knows of no answer, and may have spent the last one.
-    const missed = before !== undefined && ask.applied > 0 && ask.applied < before.seq;
-    const voided = missed ? before.lastGrant : 0;
-    // The taker debits before it sends, and never uses an answer that it missed: only tokens that this bucket still
-    // counts as outstanding, and that the taker no longer holds, come back.
+    // `applied` is 0 if the holder has forgotten the organisation meanwhile; it may then have spent the last grant.
+    const isAnswerMissed = before !== undefined && ask.applied > 0 && ask.applied < before.seq;
+    const voided = isAnswerMissed ? before.lastGrant : 0;
+    // The holder debits tokens before it sends them back, and never uses an answer that it missed. So only tokens that
+    // this bucket still counts as outstanding and that the holder no longer holds are credited.
     const credit = Math.min(ask.giveBack + voided, Math.max(0, outstanding - ask.held));
     const credited = { ...bucket, balance: bucket.balance + credit };
     return ask.refunds.reduce((next, refund) => refundToBucket(next, refund.slot, refund.tokens, now), credited);
 };
 
-const othersOf = (bucket: Bucket, vm: VmId): readonly (readonly [VmId, TakerAccount])[] =>
-    [...bucket.takers].filter(([other]) => other !== vm);
+const othersOf = (bucket: Bucket, vm: VmId): readonly (readonly [VmId, HolderAccount])[] =>
+    [...bucket.holders].filter(([other]) => other !== vm);
 
 const grantFrom = (free: Tokens, ask: GrantAsk): Tokens => {
     if (free <= 0) {
@@ -47,10 +47,12 @@
 };
 
 /**
- * Answers a VM's ask for tokens, or its handing back of some. Whoever has waited longest is served first.
+ * Answers a VM's ask, which requests tokens, hands some back, or both. The request that has waited longest is served
+ * first.
  *
- * Failures guarded against: a repeated or overtaken ask would credit its tokens twice (its sequence number is not
- * higher than the last one); a restarted taker's former run may still hold tokens (they lapse on their own).
+ * A repeated or overtaken ask would credit its tokens twice. To prevent this, an ask whose sequence number is not
+ * higher than the last one has no effect. A restarted holder's former incarnation may still hold tokens; they are left
+ * to expire.
  */
 export function answerAsk(
     before: Bucket,
@@ -61,38 +63,40 @@
     now: Millis,
 ): Answered {
     const advanced = advanceBucket(before, now);
-    const known = advanced.takers.get(vm);
-    if (known !== undefined && known.run === ask.run && ask.seq <= known.seq) {
+    const known = advanced.holders.get(vm);
+    if (known !== undefined && known.incarnation === ask.run && ask.seq <= known.seq) {
         return { bucket: advanced, answer: undefined, recalls: [] };
     }
-    const account = known?.run === ask.run ? known : undefined;
-    const former = known !== undefined && account === undefined && known.outstanding > 0
+    const account = known?.incarnation === ask.run ? known : undefined;
+    const formerGrants = known !== undefined && account === undefined && known.outstanding > 0
         ? [{ tokens: known.outstanding, until: known.until }]
         : [];
     const outstanding = account?.outstanding ?? 0;
-    const mine = ask.home === run;
-    const extended = ask.held === 0 || (mine && ask.held <= outstanding);
+    const isForThisHome = ask.home === run;
+    const extended = ask.held === 0 || (isForThisHome && ask.held <= outstanding);
     const held = extended ? ask.held : 0;
-    const disowned = extended || outstanding === 0 ? [] : [{ tokens: outstanding, until: account?.until ?? now }];
-    const settled = settle(
-        { ...advanced, lapsing: [...advanced.lapsing, ...former, ...disowned] },
-        mine && extended ? ask : { ...ask, giveBack: 0, refunds: [] },
+    const unclaimedGrants = extended || outstanding === 0
+        ? []
+        : [{ tokens: outstanding, until: account?.until ?? now }];
+    const credited = creditReturns(
+        { ...advanced, expiringGrants: [...advanced.expiringGrants, ...formerGrants, ...unclaimedGrants] },
+        isForThisHome && extended ? ask : { ...ask, giveBack: 0, refunds: [] },
         extended ? account : undefined,
         now,
     );
     const waitingSince = now - ask.waitedMs;
     const ownClaim = own.since < waitingSince ? own.unmet : 0;
-    const claimed = claimedBefore(settled, waitingSince, vm, now) + ownClaim;
-    const granted = grantFrom(settled.balance - claimed, ask);
+    const claimed = claimedBefore(credited, waitingSince, vm, now) + ownClaim;
+    const granted = grantFrom(credited.balance - claimed, ask);
     const unmet = Math.max(0, ask.need - granted);
-    const others = othersOf(settled, vm);
+    const others = othersOf(credited, vm);
     const recalls = unmet === 0
         ? []
         : others
-            .filter(([, taker]) => taker.outstanding > 0 && taker.recalledAt + timing.recallMs <= now)
+            .filter(([, holder]) => holder.outstanding > 0 && holder.recalledAt + timing.recallMs <= now)
             .map(([other]) => other);
-    const next: TakerAccount = {
-        run: ask.run,
+    const next: HolderAccount = {
+        incarnation: ask.run,
         seq: ask.seq,
         outstanding: held + granted,
         until: now + timing.keepMs,
@@ -102,13 +106,13 @@
         seenAt: now,
         recalledAt: account?.recalledAt ?? now - timing.recallMs,
     };
-    const takers = new Map([
-        ...others.map(([other, taker]) =>
-            [other, recalls.includes(other) ? { ...taker, recalledAt: now } : taker] as const
+    const holders = new Map([
+        ...others.map(([other, holder]) =>
+            [other, recalls.includes(other) ? { ...holder, recalledAt: now } : holder] as const
         ),
         [vm, next] as const,
     ]);
-    const bucket = notePeak({ ...settled, balance: settled.balance - granted, takers }, now);
+    const bucket = recordPeak({ ...credited, balance: credited.balance - granted, holders }, now);
     return {
         bucket,
         recalls,
@@ -120,7 +124,7 @@
             slot: slotAt(now),
             free: Math.max(0, bucket.balance),
             rate: bucket.limits.rate,
-            elsewhere: outstandingOf({ ...bucket, takers: new Map(others) }),
+            elsewhere: outstandingOf({ ...bucket, holders: new Map(others) }),
             unmet: claimed,
         },
     };
--- a/packages/allowance/src/applyAnswer.ts
+++ b/packages/allowance/src/applyAnswer.ts
@@ -5,31 +5,31 @@
 import { timing } from "./timing.js";
 
 /**
- * Takes in a home's answer.
+ * Applies a home's answer to what is held from that home.
  *
- * Failure guarded against: an answer that comes late or twice would add tokens that the home has counted as void, or
- * add them twice. Only the answer to the ask under way counts. Its time to live runs from when this VM asked, which is
- * before the home gave anything, so it ends before the home's own count does.
+ * An answer that arrives late or twice would add tokens that the home counts as void, or add them twice. To prevent
+ * this, only the answer to the pending ask is applied. The grant's lifetime is measured from when this VM asked, which
+ * is before the home granted anything, so the grant expires here before the home stops counting it as outstanding.
  */
 export function applyAnswer(held: HeldGrant, answer: GrantAnswer, now: Millis): HeldGrant {
     if (held.pendingSince === undefined || answer.seq !== held.seq) {
         return held;
     }
-    const sameRun = held.homeRun === undefined || held.homeRun === answer.run;
+    const isSameIncarnation = held.homeIncarnation === undefined || held.homeIncarnation === answer.run;
     return {
         ...held,
-        homeRun: answer.run,
+        homeIncarnation: answer.run,
         left: (answer.extended ? held.left : 0) + answer.granted,
-        counted: (answer.extended ? held.counted : 0) + answer.granted,
+        outstandingAtHome: (answer.extended ? held.outstandingAtHome : 0) + answer.granted,
         expiresAt: held.pendingSince + timing.grantMs,
         slot: answer.slot,
         applied: answer.seq,
         pendingSince: undefined,
-        heardAt: now,
+        answeredAt: now,
         answerMs: now - held.pendingSince,
         failedAt: undefined,
         decliningSince: undefined,
-        refunds: sameRun ? held.refunds : [],
+        refunds: isSameIncarnation ? held.refunds : [],
         free: answer.free,
         rate: answer.rate,
         elsewhere: answer.elsewhere,
--- a/packages/allowance/src/relimitBucket.ts
+++ b/packages/allowance/src/applyBucketLimits.ts
@@ -6,10 +6,10 @@
 import { outstandingOf } from "./outstandingOf.js";
 
 /**
- * Puts the limits of a new revision in force. What has accrued stays, cut to the new burst; tokens already granted are
- * not called back, and run out within the grant's time.
+ * Applies the limits of a new revision. Accrued tokens stay, capped by the new burst; tokens already granted are not
+ * recalled and expire with their grant.
  */
-export function relimitBucket(bucket: Bucket, limits: Limits, now: Millis): Bucket {
+export function applyBucketLimits(bucket: Bucket, limits: Limits, now: Millis): Bucket {
     const advanced = advanceBucket(bucket, now);
     const room = Math.max(0, limits.burst - outstandingOf(advanced));
     return { ...advanced, limits, balance: Math.min(advanced.balance, room) };
--- a/packages/allowance/src/askHome.ts
+++ b/packages/allowance/src/askHome.ts
@@ -6,28 +6,28 @@
 import type { Home } from "./Home.js";
 import { usableTokens } from "./usableTokens.js";
 
-/** How much is asked for, and handed back. */
-type Wish = { readonly need: Tokens; readonly ahead: Tokens; readonly giveBack: Tokens; };
+/** Tokens to ask for and to hand back. */
+type AskAmounts = { readonly need: Tokens; readonly ahead: Tokens; readonly giveBack: Tokens; };
 
 const MICROS_PER_MILLI = 1_000;
 
 /**
- * What is held of a home that was not asked yet. Sequence numbers begin at the clock's microseconds: an organisation that
- * was idle and forgotten here goes on above its earlier numbers, which its home still remembers.
+ * Creates the entry of a home that was not asked yet. Sequence numbers start at the clock's microseconds, so that an
+ * organisation that was idle and forgotten here continues above its earlier numbers, which its home still remembers.
  */
-const untouched = ({ domain, vm }: Home, now: Millis): HeldGrant => ({
+const initialGrant = ({ domain, vm }: Home, now: Millis): HeldGrant => ({
     domain,
     home: vm,
-    homeRun: undefined,
+    homeIncarnation: undefined,
     left: 0,
-    counted: 0,
+    outstandingAtHome: 0,
     expiresAt: -Infinity,
     slot: 0,
     seq: Math.floor(now * MICROS_PER_MILLI),
     applied: 0,
     pendingSince: undefined,
     askedAt: -Infinity,
-    heardAt: -Infinity,
+    answeredAt: -Infinity,
     answerMs: 0,
     failedAt: undefined,
     decliningSince: undefined,
@@ -39,18 +39,31 @@
 });
 
 /**
- * Sends one ask to a home, unless one is under way. Tokens that are handed back are debited first, so that a lost message
- * loses them rather than doubling them.
+ * Sends one ask to a home, unless one is pending. Tokens that are handed back are debited first, so that a lost message
+ * loses them instead of duplicating them.
  */
-export function askHome(allowance: Allowance, home: Home, wish: Wish, now: Millis): Step<Allowance, AllowanceEffect> {
-    const held = allowance.held.find(entry => entry.home === home.vm) ?? untouched(home, now);
+export function askHome(
+    allowance: Allowance,
+    home: Home,
+    amounts: AskAmounts,
+    now: Millis,
+): Step<Allowance, AllowanceEffect> {
+    const held = allowance.held.find(entry => entry.home === home.vm) ?? initialGrant(home, now);
     if (held.pendingSince !== undefined || home.vm === allowance.vm) {
         return { state: allowance, effects: [] };
     }
-    const giveBack = Math.min(wish.giveBack, usableTokens(held, now));
+    const giveBack = Math.min(amounts.giveBack, usableTokens(held, now));
     const left = usableTokens(held, now) - giveBack;
     const seq = held.seq + 1;
-    const asked: HeldGrant = { ...held, left, counted: left, seq, refunds: [], pendingSince: now, askedAt: now };
+    const asked: HeldGrant = {
+        ...held,
+        left,
+        outstandingAtHome: left,
+        seq,
+        refunds: [],
+        pendingSince: now,
+        askedAt: now,
+    };
     const others = allowance.held.filter(entry => entry.home !== home.vm);
     return {
         state: { ...allowance, held: [...others, asked] },
@@ -59,14 +72,14 @@
             to: home.vm,
             ask: {
                 run: allowance.run,
-                home: held.homeRun,
+                home: held.homeIncarnation,
                 seq,
                 applied: held.applied,
                 held: left,
                 giveBack,
-                need: wish.need,
-                waitedMs: wish.need > 0 ? now - (allowance.waiters[0]?.since ?? now) : 0,
-                ahead: wish.ahead,
+                need: amounts.need,
+                waitedMs: amounts.need > 0 ? now - (allowance.waiters[0]?.since ?? now) : 0,
+                ahead: amounts.ahead,
                 refunds: held.refunds,
             },
         }],
--- a/packages/allowance/src/askHomes.ts
+++ b/packages/allowance/src/askHomes.ts
@@ -10,31 +10,32 @@
 import { timing } from "./timing.js";
 
 const MS_PER_SECOND = 1_000;
-/** Below this part of its burst a home's own bucket is spared for other VMs. */
-const LOW_BUCKET = 0.5;
+/** Fraction of its burst below which this VM's own bucket is left to other VMs, and tokens are asked for elsewhere. */
+const LOW_BUCKET_FRACTION = 0.5;
 
 type AllowanceStep = Step<Allowance, AllowanceEffect>;
 
-/** Part of its burst by which a home of the own failure domain is preferred. */
-const NEARNESS = 0.05;
+/** Fraction of its burst by which a home in this VM's own failure domain is preferred. */
+const LOCAL_PREFERENCE_FRACTION = 0.05;
 
-/** Tokens that a home's bucket has by now, as far as its last answer tells; all that it can hold when it never gave one. */
+/** Estimates the tokens in a home's bucket now from its last answer; its whole burst if it never answered. */
 const expectedFree = (allowance: Allowance, home: Home, now: Millis): Tokens => {
     const held = allowance.held.find(entry => entry.home === home.vm);
     const { burst } = home.limits;
-    if (held === undefined || held.heardAt === -Infinity) {
+    if (held === undefined || held.answeredAt === -Infinity) {
         return burst;
     }
-    return Math.min(burst, held.free + held.rate * (now - held.heardAt) / MS_PER_SECOND);
+    return Math.min(burst, held.free + held.rate * (now - held.answeredAt) / MS_PER_SECOND);
 };
 
 /**
- * The homes, the fullest first. Drawing from the fullest keeps all buckets below their bursts: one that stands full
- * accrues nothing, and the organisation would get less than its rate.
+ * Sorts homes by expected free tokens, most first. Drawing from the fullest bucket keeps all buckets below their
+ * bursts: a full bucket accrues nothing, so the organisation would get less than its rate.
  */
 const fullestFirst = (allowance: Allowance, homes: readonly Home[], now: Millis): readonly Home[] => {
     const rank = (home: Home): number =>
-        expectedFree(allowance, home, now) + (home.domain === allowance.domain ? NEARNESS * home.limits.burst : 0);
+        expectedFree(allowance, home, now) +
+        (home.domain === allowance.domain ? LOCAL_PREFERENCE_FRACTION * home.limits.burst : 0);
     return [...homes].sort((a, b) => rank(b) - rank(a));
 };
 
@@ -45,74 +46,79 @@
     return !hasFailed && (held === undefined || !isLate(held, now));
 };
 
-const mayAskAgain = (allowance: Allowance, home: Home, pauseMs: Millis, now: Millis): boolean => {
+const isAskDue = (allowance: Allowance, home: Home, intervalMs: Millis, now: Millis): boolean => {
     const held = allowance.held.find(entry => entry.home === home.vm);
-    return held === undefined || held.askedAt + pauseMs <= now;
+    return held === undefined || held.askedAt + intervalMs <= now;
 };
 
-/** Tells other VMs that hold tokens of this home's bucket that requests wait here. */
-const recallOwn = (allowance: Allowance, now: Millis): AllowanceStep => {
+/** Recalls tokens of this VM's bucket from the VMs that hold some, because requests wait here. */
+const recallGrants = (allowance: Allowance, now: Millis): AllowanceStep => {
     const { bucket } = allowance;
     if (bucket === undefined) {
         return { state: allowance, effects: [] };
     }
-    const due = [...bucket.takers]
-        .filter(([, taker]) => taker.outstanding > 0 && taker.recalledAt + timing.recallMs <= now)
+    const due = [...bucket.holders]
+        .filter(([, holder]) => holder.outstanding > 0 && holder.recalledAt + timing.recallMs <= now)
         .map(([vm]) => vm);
-    const takers = new Map(
-        [...bucket.takers].map(([vm, taker]) => [vm, due.includes(vm) ? { ...taker, recalledAt: now } : taker]),
+    const holders = new Map(
+        [...bucket.holders].map(([vm, holder]) => [vm, due.includes(vm) ? { ...holder, recalledAt: now } : holder]),
     );
     return {
-        state: { ...allowance, bucket: due.length === 0 ? bucket : { ...bucket, takers } },
+        state: { ...allowance, bucket: due.length === 0 ? bucket : { ...bucket, holders } },
         effects: due.map(to => ({ kind: "recall", to, waitedMs: now - (allowance.waiters[0]?.since ?? now) })),
     };
 };
 
-type Wish = { readonly home: Home; readonly need: Tokens; readonly ahead: Tokens; };
+type PlannedAsk = { readonly home: Home; readonly need: Tokens; readonly ahead: Tokens; };
 
-const askEach = (start: AllowanceStep, wishes: readonly Wish[], now: Millis) =>
-    wishes.reduce<AllowanceStep>((step, { home, need, ahead }) => {
+const askEach = (start: AllowanceStep, planned: readonly PlannedAsk[], now: Millis) =>
+    planned.reduce<AllowanceStep>((step, { home, need, ahead }) => {
         const next = askHome(step.state, home, { need, ahead, giveBack: 0 }, now);
         return { state: next.state, effects: [...step.effects, ...next.effects] };
     }, start);
 
-/** Asks for what waiting requests lack: one home that has enough, else all of them. */
+/** Asks for the tokens that waiting requests lack: from one home if it has enough, else from all homes. */
 const askForNeed = (allowance: Allowance, missing: Tokens, ahead: Tokens, now: Millis): AllowanceStep => {
-    // While the organisation is over its rate, more asks bring no more tokens.
-    const strained = allowance.strainedAt !== undefined && allowance.strainedAt + timing.maxWaitMs > now;
-    const pauseMs = strained ? timing.askAheadMs : timing.askAgainMs;
+    // While the organisation is over its rate, asking more often yields no more tokens.
+    const isOverRate = allowance.lastRefusedAt !== undefined && allowance.lastRefusedAt + timing.maxWaitMs > now;
+    const intervalMs = isOverRate ? timing.askAheadIntervalMs : timing.askIntervalMs;
     const others = allowance.homes.filter(home => home.vm !== allowance.vm);
     const due = others
-        .filter(home => mayAskAgain(allowance, home, pauseMs, now))
-        .filter(home => isReachable(allowance, home, now) || mayAskAgain(allowance, home, timing.askFailedMs, now));
+        .filter(home => isAskDue(allowance, home, intervalMs, now))
+        .filter(home =>
+            isReachable(allowance, home, now) || isAskDue(allowance, home, timing.failedAskIntervalMs, now)
+        );
     const reachable = fullestFirst(allowance, others.filter(home => isReachable(allowance, home, now)), now);
     const fullest = reachable[0];
-    const firstRound = allowance.waiters.every(waiter => waiter.rounds === 0);
-    const enough = firstRound && fullest !== undefined && expectedFree(allowance, fullest, now) >= missing;
+    const isFirstRound = allowance.waiters.every(waiter => waiter.rounds === 0);
+    const hasEnough = isFirstRound && fullest !== undefined && expectedFree(allowance, fullest, now) >= missing;
     const sum = reachable.reduce((free, home) => free + expectedFree(allowance, home, now), 1);
-    const partOf = (home: Home): Tokens =>
-        firstRound && sum >= missing ? Math.ceil(missing * expectedFree(allowance, home, now) / sum) : missing;
-    const wishes = enough
+    const needFrom = (home: Home): Tokens =>
+        isFirstRound && sum >= missing ? Math.ceil(missing * expectedFree(allowance, home, now) / sum) : missing;
+    const planned = hasEnough
         ? [{ home: fullest, need: Math.ceil(missing), ahead }]
-        : due.map(home => ({ home, need: Math.ceil(partOf(home)), ahead: 0 }));
-    const step = askEach(recallOwn(allowance, now), wishes, now);
+        : due.map(home => ({ home, need: Math.ceil(needFrom(home)), ahead: 0 }));
+    const step = askEach(recallGrants(allowance, now), planned, now);
     const waiters = step.effects.some(effect => effect.kind === "ask")
         ? step.state.waiters.map(waiter => ({ ...waiter, rounds: waiter.rounds + 1 }))
         : step.state.waiters;
-    const wake: AllowanceEffect = { kind: "wake", at: now + pauseMs };
+    const wake: AllowanceEffect = { kind: "wake", at: now + intervalMs };
     return { state: { ...step.state, waiters }, effects: [...step.effects, wake] };
 };
 
-/** Asks ahead of need, so that the next requests find tokens here and tokens stand where they are spent before a cut. */
+/**
+ * Asks for tokens ahead of need, so that the next requests find them here, and so that tokens are already where they
+ * are spent if a network partition follows.
+ */
 const askAhead = (allowance: Allowance, missing: Tokens, now: Millis): AllowanceStep => {
     const homes = allowance.homes
         .filter(home => home.vm !== allowance.vm)
         .filter(home => isReachable(allowance, home, now))
-        .filter(home => mayAskAgain(allowance, home, timing.askAheadMs, now));
+        .filter(home => isAskDue(allowance, home, timing.askAheadIntervalMs, now));
     const ordered = fullestFirst(allowance, homes, now);
     const fullest = ordered[0];
-    const enough = fullest !== undefined && expectedFree(allowance, fullest, now) >= 2 * missing;
-    const asked = enough ? [fullest] : ordered;
+    const hasEnough = fullest !== undefined && expectedFree(allowance, fullest, now) >= 2 * missing;
+    const asked = hasEnough ? [fullest] : ordered;
     const part = Math.ceil(missing / Math.max(1, asked.length));
     return askEach(
         { state: allowance, effects: [] },
@@ -121,21 +127,23 @@
     );
 };
 
-/** Whether this VM's own bucket is the one to be spared. */
-const ownIsLow = ({ bucket }: Allowance): boolean =>
-    bucket !== undefined && bucket.balance < bucket.limits.burst * LOW_BUCKET;
+/** Returns whether this VM's own bucket is low, so that its tokens are left to other VMs. */
+const isOwnBucketLow = ({ bucket }: Allowance): boolean =>
+    bucket !== undefined && bucket.balance < bucket.limits.burst * LOW_BUCKET_FRACTION;
 
-/** Sends the asks that the state of an allowance calls for. */
+/** Asks homes for the tokens that waiting requests lack or, if none wait, for tokens ahead of need. */
 export function askHomes(allowance: Allowance, now: Millis): AllowanceStep {
     const available = availableTokens(allowance, now);
     const target = aheadTokens(allowance, now);
-    const waiting = allowance.waiters.reduce((sum, waiter) => sum + waiter.tokens, allowance.debt);
+    const owed = allowance.waiters.reduce((sum, waiter) => sum + waiter.tokens, allowance.debt);
     if (allowance.waiters.length > 0) {
-        return askForNeed(allowance, Math.max(1, waiting - available), Math.ceil(target), now);
+        return askForNeed(allowance, Math.max(1, owed - available), Math.ceil(target), now);
     }
-    const here = ownIsLow(allowance) ? available - Math.max(0, allowance.bucket?.balance ?? 0) : available;
-    if (here < target / 2) {
-        return askAhead(allowance, Math.ceil(target - here), now);
+    const availableHere = isOwnBucketLow(allowance)
+        ? available - Math.max(0, allowance.bucket?.balance ?? 0)
+        : available;
+    if (availableHere < target / 2) {
+        return askAhead(allowance, Math.ceil(target - availableHere), now);
     }
     return { state: allowance, effects: [] };
 }
--- a/packages/allowance/src/availableTokens.ts
+++ b/packages/allowance/src/availableTokens.ts
@@ -4,7 +4,7 @@
 import { claimedBefore } from "./claimedBefore.js";
 import { usableTokens } from "./usableTokens.js";
 
-/** Tokens that this VM may spend now without asking anybody. The bucket has to be advanced to now. */
+/** Returns the tokens that this VM may spend now without asking a home. The bucket must be advanced to `now`. */
 export function availableTokens(allowance: Allowance, now: Millis): Tokens {
     const { bucket, servesFrom, waiters } = allowance;
     const since = waiters[0]?.since ?? now;
--- a/packages/allowance/src/charge.ts
+++ b/packages/allowance/src/charge.ts
@@ -17,29 +17,29 @@
             if (taken === 0) {
                 return sofar;
             }
-            const { home, homeRun, slot } = held;
+            const { home, homeIncarnation, slot } = held;
             const rest = sofar.allowance.held.map(other =>
                 other === held ? { ...held, left: held.left - taken } : other
             );
             return {
                 allowance: { ...sofar.allowance, held: rest },
-                parts: [...sofar.parts, { home, homeRun, slot, tokens: taken }],
+                parts: [...sofar.parts, { home, homeIncarnation, slot, tokens: taken }],
                 missing: sofar.missing - taken,
             };
         }, { allowance, parts: [], missing: tokens });
 
 const takeFromBucket = (allowance: Allowance, tokens: Tokens, now: Millis): Charged => {
-    const { bucket, vm: home, run: homeRun } = allowance;
+    const { bucket, vm: home, run: homeIncarnation } = allowance;
     if (bucket === undefined || tokens <= 0) {
         return { allowance, parts: [] };
     }
     return {
         allowance: { ...allowance, bucket: { ...bucket, balance: bucket.balance - tokens } },
-        parts: [{ home, homeRun, slot: slotAt(now), tokens }],
+        parts: [{ home, homeIncarnation, slot: slotAt(now), tokens }],
     };
 };
 
-/** Leaves out what pays a debt: it never goes back. */
+/** Removes the tokens that pay a debt, as they are never refunded. */
 const withoutDebt = (parts: readonly ChargePart[], debt: Tokens): readonly ChargePart[] =>
     parts.reduce<{ readonly debt: Tokens; readonly parts: readonly ChargePart[]; }>((sofar, part) => {
         const paid = Math.min(sofar.debt, part.tokens);
@@ -48,9 +48,10 @@
     }, { debt, parts: [] }).parts;
 
 /**
- * Takes tokens for a request, and any debt with them: from grants first, since these expire, then from the own bucket.
+ * Charges the tokens for a request plus any debt: from grants first, since these expire, then from this VM's own
+ * bucket.
  *
- * @returns undefined when there are not enough
+ * @returns undefined if there are not enough tokens
  */
 export function charge(before: Allowance, tokens: Tokens, now: Millis): Charged | undefined {
     const owed = tokens + before.debt;
--- a/packages/allowance/src/claimedBefore.ts
+++ b/packages/allowance/src/claimedBefore.ts
@@ -4,16 +4,19 @@
 import { timing } from "./timing.js";
 
 /**
- * Tokens of a bucket that requests waiting at other VMs have a better claim to, as they came before a given moment.
+ * Returns the tokens of a bucket that are claimed by requests waiting at other VMs, which arrived before a given time.
  *
- * Failure guarded against: with little left, each of several waiting requests gets a part, none gets enough, and all are
- * refused beside tokens that would have served them one after another. So the oldest is served first, at every home.
+ * If few tokens are left and each of several waiting requests gets a part, none gets enough, and all are refused
+ * although the tokens would have served them one after another. To prevent this, every home serves the oldest request
+ * first.
  *
- * @param since when the request in question came
- * @param but VM whose own requests do not count
+ * @param since when the request to be served arrived
+ * @param excluded VM whose own requests do not count
  */
-export function claimedBefore(bucket: Bucket, since: Millis, but: VmId | undefined, now: Millis): Tokens {
-    return [...bucket.takers]
-        .filter(([vm, taker]) => vm !== but && taker.seenAt + timing.freshMs > now && taker.waitingSince < since)
-        .reduce((sum, [, taker]) => sum + taker.unmet, 0);
+export function claimedBefore(bucket: Bucket, since: Millis, excluded: VmId | undefined, now: Millis): Tokens {
+    return [...bucket.holders]
+        .filter(([vm, holder]) =>
+            vm !== excluded && holder.seenAt + timing.freshMs > now && holder.waitingSince < since
+        )
+        .reduce((sum, [, holder]) => sum + holder.unmet, 0);
 }
--- a/packages/allowance/src/demandAt.ts
+++ b/packages/allowance/src/demandAt.ts
@@ -2,9 +2,11 @@
 
 import type { Allowance } from "./Allowance.js";
 
-const WINDOW_MS = 1_000;
+const TIME_CONSTANT_MS = 1_000;
 
-/** Tokens a second spent on this VM lately: an average that forgets with a time constant of a second. */
+/**
+ * Returns the tokens per second spent on this VM recently: an exponential average with a time constant of one second.
+ */
 export function demandAt(allowance: Allowance, now: Millis): Tokens {
-    return allowance.demand * Math.exp(-(now - allowance.spentAt) / WINDOW_MS);
+    return allowance.demand * Math.exp(-(now - allowance.spentAt) / TIME_CONSTANT_MS);
 }
--- a/packages/allowance/src/handOverBucket.ts
+++ b/packages/allowance/src/handOverBucket.ts
@@ -5,8 +5,8 @@
 import { outstandingOf } from "./outstandingOf.js";
 
 /**
- * Hands the bucket over to a new home. It is gone here before the message leaves: a lost message loses its tokens, and
- * the new home then starts empty.
+ * Hands the bucket over to a new home. It is removed here before the message is sent: if the message is lost, its
+ * tokens are lost too, and the new home starts with an empty bucket.
  */
 export function handOverBucket(before: Allowance, to: VmId | undefined, now: Millis): Step<Allowance, AllowanceEffect> {
     const { bucket } = before;
@@ -14,11 +14,11 @@
     if (bucket === undefined || to === undefined) {
         return { state, effects: [] };
     }
-    const ends = [
-        ...bucket.lapsing.map(entry => entry.until),
-        ...[...bucket.takers.values()].map(taker => taker.until),
+    const expiryTimes = [
+        ...bucket.expiringGrants.map(entry => entry.until),
+        ...[...bucket.holders.values()].map(holder => holder.until),
     ];
-    const lapsesIn = Math.max(0, ...ends.map(until => until - now));
+    const lapsesIn = Math.max(0, ...expiryTimes.map(until => until - now));
     const handed = { balance: bucket.balance, outstanding: outstandingOf(bucket), lapsesIn };
     return { state, effects: [{ kind: "hand-over", to, bucket: handed }] };
 }
--- a/packages/allowance/src/index.ts
+++ b/packages/allowance/src/index.ts
@@ -1,4 +1,4 @@
-/** Tokens that an organisation may still spend, and grants of them between VMs. */
+/** Tokens that an organisation may still spend, and grants of them from home VMs to others. */
 export type { Allowance } from "./Allowance.js";
 export type { AllowanceEffect } from "./AllowanceEffect.js";
 export type { AllowanceEvent } from "./AllowanceEvent.js";
--- a/packages/allowance/src/isIdle.ts
+++ b/packages/allowance/src/isIdle.ts
@@ -14,8 +14,8 @@
     bucket === undefined || (bucket.balance >= bucket.limits.burst && outstandingOf(bucket) === 0);
 
 /**
- * Whether an organisation's allowance may be forgotten here. A bucket that is opened again holds what has accrued since
- * `servesFrom`, so only a full one that would be full again may go.
+ * Returns whether an organisation's allowance may be forgotten here. A bucket that is opened again holds the tokens
+ * accrued since `servesFrom`, so a bucket may be forgotten only if it is full and would be full when opened again.
  */
 export function isIdle(allowance: Allowance, now: Millis): boolean {
     const { bucket, servesFrom } = allowance;
--- a/packages/allowance/src/openAllowance.ts
+++ b/packages/allowance/src/openAllowance.ts
@@ -4,7 +4,7 @@
 import type { Home } from "./Home.js";
 import type { Limits } from "./Limits.js";
 
-/** What an allowance starts from. */
+/** Initial state of an allowance. */
 type Start = {
     readonly vm: VmId;
     readonly run: Incarnation;
@@ -15,7 +15,7 @@
     readonly now: Millis;
 };
 
-/** Begins to keep an organisation's allowance on this VM, without any tokens. */
+/** Creates an organisation's allowance on this VM, without any tokens. */
 export function openAllowance({ now, ...start }: Start): Allowance {
     const isHome = start.homes.some(home => home.vm === start.vm);
     return {
@@ -28,6 +28,6 @@
         inFlight: 0,
         demand: 0,
         spentAt: -Infinity,
-        strainedAt: undefined,
+        lastRefusedAt: undefined,
     };
 }
--- a/packages/allowance/src/outlookOf.ts
+++ b/packages/allowance/src/outlookOf.ts
@@ -10,9 +10,9 @@
 
 const MS_PER_SECOND = 1_000;
 
-const NOTHING: Outlook = {
-    informed: true,
-    settling: false,
+const EMPTY_OUTLOOK: Outlook = {
+    isInformed: true,
+    isTakingOver: false,
     free: 0,
     recallable: 0,
     unmet: 0,
@@ -24,42 +24,42 @@
 const ownOutlook = (allowance: Allowance, now: Millis): Outlook => {
     const { bucket } = allowance;
     if (bucket === undefined) {
-        return NOTHING;
+        return EMPTY_OUTLOOK;
     }
     const unmet = claimedBefore(bucket, allowance.waiters[0]?.since ?? now, undefined, now);
-    return { ...NOTHING, recallable: outstandingOf(bucket), unmet, rate: bucket.limits.rate };
+    return { ...EMPTY_OUTLOOK, recallable: outstandingOf(bucket), unmet, rate: bucket.limits.rate };
 };
 
-/** A home that does not serve yet may do so within a moment; one that goes on declining waits for grants to run out. */
-const movingOutlook = ({ limits }: Home, since: Millis, now: Millis): Outlook => ({
-    ...NOTHING,
-    informed: since + timing.maxWaitMs <= now,
-    settling: since + timing.settleMs > now,
+/** A home that does not serve yet may do so shortly; one that keeps declining is waiting for grants to expire. */
+const takeoverOutlook = ({ limits }: Home, since: Millis, now: Millis): Outlook => ({
+    ...EMPTY_OUTLOOK,
+    isInformed: since + timing.maxWaitMs <= now,
+    isTakingOver: since + timing.takeoverMs > now,
     unreachableBurst: limits.burst,
     unreachableRate: limits.rate,
 });
 
-/** A home that did not answer stays out of reach while it is asked again. */
-const isOutOfReach = ({ failedAt, pendingSince }: HeldGrant, now: Millis): boolean =>
+/** Returns whether a home is unreachable: one that did not answer stays so while it is asked again. */
+const isUnreachable = ({ failedAt, pendingSince }: HeldGrant, now: Millis): boolean =>
     failedAt !== undefined && (failedAt + timing.unreachableMs > now || pendingSince !== undefined);
 
 const homeOutlook = (home: Home, held: HeldGrant | undefined, now: Millis): Outlook => {
     const { rate, burst } = home.limits;
     if (held?.decliningSince !== undefined) {
-        return movingOutlook(home, held.decliningSince, now);
+        return takeoverOutlook(home, held.decliningSince, now);
     }
-    if (held !== undefined && isOutOfReach(held, now)) {
-        return { ...NOTHING, unreachableBurst: burst, unreachableRate: rate };
+    if (held !== undefined && isUnreachable(held, now)) {
+        return { ...EMPTY_OUTLOOK, unreachableBurst: burst, unreachableRate: rate };
     }
-    if (held === undefined || held.heardAt + timing.freshMs <= now) {
-        return { ...NOTHING, informed: false, rate, free: burst };
+    if (held === undefined || held.answeredAt + timing.freshMs <= now) {
+        return { ...EMPTY_OUTLOOK, isInformed: false, rate, free: burst };
     }
-    const accrued = held.rate * (now - held.heardAt) / MS_PER_SECOND;
+    const accrued = held.rate * (now - held.answeredAt) / MS_PER_SECOND;
     const { elsewhere: recallable, unmet } = held;
-    return { ...NOTHING, free: Math.min(burst, held.free + accrued), recallable, unmet, rate: held.rate };
+    return { ...EMPTY_OUTLOOK, free: Math.min(burst, held.free + accrued), recallable, unmet, rate: held.rate };
 };
 
-/** Sums up what the homes last told; homes that failed to answer lately count as out of reach. */
+/** Sums up the homes' latest answers; a home that recently failed to answer counts as unreachable. */
 export function outlookOf(allowance: Allowance, now: Millis): Outlook {
     const own = allowance.servesFrom === undefined ? [] : [ownOutlook(allowance, now)];
     const others = allowance.homes
@@ -67,19 +67,19 @@
         .map(home => homeOutlook(home, allowance.held.find(held => held.home === home.vm), now));
     const barred = allowance.homes
         .filter(home => home.vm === allowance.vm && allowance.servesFrom === undefined)
-        .map(home => movingOutlook(home, allowance.barredSince ?? now, now));
-    // Right after the start of a process no VM is known yet.
-    const known = { ...NOTHING, informed: allowance.homes.length > 0, settling: true };
+        .map(home => takeoverOutlook(home, allowance.barredSince ?? now, now));
+    // Right after the start of the process no home is known yet.
+    const initial = { ...EMPTY_OUTLOOK, isInformed: allowance.homes.length > 0, isTakingOver: true };
     return [...own, ...others, ...barred].reduce((sum, one) => ({
-        informed: sum.informed && one.informed,
-        // A home out of reach has not just started: waiting for the others would not help.
-        settling: sum.settling && one.settling,
+        isInformed: sum.isInformed && one.isInformed,
+        // An unreachable home has not just taken over, so waiting for the others would not help.
+        isTakingOver: sum.isTakingOver && one.isTakingOver,
         free: sum.free + one.free,
         recallable: sum.recallable + one.recallable,
-        // Requests that wait elsewhere ask several homes for the same tokens.
+        // A request that waits elsewhere asks several homes for the same tokens, so the sum would count it twice.
         unmet: Math.max(sum.unmet, one.unmet),
         rate: sum.rate + one.rate,
         unreachableBurst: sum.unreachableBurst + one.unreachableBurst,
         unreachableRate: sum.unreachableRate + one.unreachableRate,
-    }), known);
+    }), initial);
 }
--- a/packages/allowance/src/outstandingOf.ts
+++ b/packages/allowance/src/outstandingOf.ts
@@ -2,8 +2,8 @@
 
 import type { Bucket } from "./Bucket.js";
 
-/** Tokens of a bucket that may still be spent under grants, at most. */
+/** Returns the most tokens of a bucket that may still be spent under grants. */
 export function outstandingOf(bucket: Bucket): Tokens {
-    const lapsing = bucket.lapsing.reduce((sum, entry) => sum + entry.tokens, 0);
-    return [...bucket.takers.values()].reduce((sum, taker) => sum + taker.outstanding, lapsing);
+    const expiring = bucket.expiringGrants.reduce((sum, entry) => sum + entry.tokens, 0);
+    return [...bucket.holders.values()].reduce((sum, holder) => sum + holder.outstanding, expiring);
 }
--- a/packages/allowance/src/probeHomes.ts
+++ b/packages/allowance/src/probeHomes.ts
@@ -6,8 +6,8 @@
 import { timing } from "./timing.js";
 
 /**
- * Asks homes again that failed to answer, for nothing: requests are refused at once meanwhile, and would not find out
- * that such a home is back.
+ * Probes homes that failed or declined, with an ask for no tokens. Meanwhile requests are refused at once, so that
+ * nothing else would find out that such a home serves again.
  */
 export function probeHomes(allowance: Allowance, now: Millis): Step<Allowance, AllowanceEffect> {
     const failed = allowance.held.filter(held =>
--- a/packages/allowance/src/receiveBucket.ts
+++ b/packages/allowance/src/receiveBucket.ts
@@ -7,9 +7,9 @@
 import { timing } from "./timing.js";
 
 /**
- * Takes over a former home's bucket: its balance, cut to the limits here, and its grants as tokens that lapse. Grants of
- * a former home cannot be handed back here, so no room is accrued for them until they have run out. Where a bucket is
- * left here from an earlier time as home, or the message is a repetition, the lower balance stands.
+ * Takes over a former home's bucket: its balance, capped by the limits here, and its grants as tokens that expire.
+ * Grants of a former home cannot be handed back here, so nothing accrues in their place until they have expired. If
+ * this VM still has a bucket from an earlier time as home, or the message is repeated, the lower balance is used.
  */
 export function receiveBucket(before: Allowance, handed: HandedBucket, now: Millis): Allowance {
     const share = before.homes.find(home => home.vm === before.vm)?.limits;
@@ -17,9 +17,9 @@
         return before;
     }
     const until = now + handed.lapsesIn * (timing.keepMs / timing.grantMs);
-    const lapsing = handed.outstanding > 0 ? [{ tokens: handed.outstanding, until }] : [];
-    const kept = before.bucket ?? { ...openBucket(share, now, now), balance: share.burst };
-    const bucket = { ...kept, lapsing: [...kept.lapsing, ...lapsing] };
+    const handedGrants = handed.outstanding > 0 ? [{ tokens: handed.outstanding, until }] : [];
+    const current = before.bucket ?? { ...openBucket(share, now, now), balance: share.burst };
+    const bucket = { ...current, expiringGrants: [...current.expiringGrants, ...handedGrants] };
     const room = Math.max(0, share.burst - outstandingOf(bucket));
-    return { ...before, bucket: { ...bucket, balance: Math.min(kept.balance, handed.balance, room) } };
+    return { ...before, bucket: { ...bucket, balance: Math.min(current.balance, handed.balance, room) } };
 }
--- a/packages/allowance/src/notePeak.ts
+++ b/packages/allowance/src/recordPeak.ts
@@ -5,16 +5,16 @@
 import { slotAt } from "./slotAt.js";
 import { timing } from "./timing.js";
 
-const REMEMBERED_SLOTS = timing.refundMs / timing.slotMs;
+const MAX_PEAK_SLOTS = timing.refundMs / timing.slotMs;
 
-/** Remembers a bucket's level of now among its highest levels. */
-export function notePeak(bucket: Bucket, now: Millis): Bucket {
+/** Records a bucket's current level among its highest levels. */
+export function recordPeak(bucket: Bucket, now: Millis): Bucket {
     const slot = slotAt(now);
     const level = levelOf(bucket);
     const last = bucket.peaks.at(-1);
     if (last !== undefined && last.slot === slot && last.level >= level) {
         return bucket;
     }
-    const kept = bucket.peaks.filter(peak => peak.level > level && peak.slot >= slot - REMEMBERED_SLOTS);
+    const kept = bucket.peaks.filter(peak => peak.level > level && peak.slot >= slot - MAX_PEAK_SLOTS);
     return { ...bucket, peaks: [...kept, { slot, level }] };
 }
--- a/packages/allowance/src/refundToBucket.ts
+++ b/packages/allowance/src/refundToBucket.ts
@@ -5,16 +5,16 @@
 import { timing } from "./timing.js";
 
 /**
- * Gives back tokens that were charged and not used.
+ * Refunds tokens that were charged and not used.
  *
- * Failure guarded against: a charge empties the bucket, it fills up again while the request runs, the full bucket is
- * spent, and the refund is spent on top: more than the burst within an instant. So a refund is cut to the room that the
- * bucket has had all the time since the charge. Then the same history with the true use charged at first keeps to the
- * limits, since the bucket would not have overflowed.
+ * If a charge empties the bucket, the bucket fills up again while the request runs, and the full bucket is spent, then
+ * a refund could be spent on top: more than the burst within an instant. To prevent this, a refund is capped by the
+ * room that the bucket had at every time since the charge. The result then equals a history in which only the tokens
+ * used were charged, and that history keeps to the limits, since the bucket would not have overflowed.
  *
- * @param bucket the bucket, advanced to now
+ * @param bucket the bucket, advanced to `now`
  * @param slot slot at or before the charge
- * @param tokens charged and not used
+ * @param tokens tokens charged and not used
  */
 export function refundToBucket(bucket: Bucket, slot: number, tokens: Tokens, now: Millis): Bucket {
     const oldest = Math.max(slotAt(bucket.openedAt) + 1, slotAt(now - timing.refundMs));
--- a/packages/allowance/src/serveWaiters.ts
+++ b/packages/allowance/src/serveWaiters.ts
@@ -13,13 +13,13 @@
     if (first === undefined || charged === undefined) {
         return { state: before, effects: [] };
     }
-    const later = admitFirst({ ...charged.allowance, waiters: rest }, now);
-    return { state: later.state, effects: [{ kind: "admit", id: first.id, parts: charged.parts }, ...later.effects] };
+    const next = admitFirst({ ...charged.allowance, waiters: rest }, now);
+    return { state: next.state, effects: [{ kind: "admit", id: first.id, parts: charged.parts }, ...next.effects] };
 };
 
 /**
- * Admits waiting requests in order as far as the tokens here go, and refuses at once each one that cannot be served in
- * time. A refusal is never kept back until the request's deadline: its caller could go elsewhere meanwhile.
+ * Admits waiting requests in order while the tokens here suffice, and refuses at once each one that cannot be served in
+ * time. A refusal is never delayed until the request's deadline, since its caller could go elsewhere meanwhile.
  */
 export function serveWaiters(before: Allowance, now: Millis): Step<Allowance, AllowanceEffect> {
     const admitted = admitFirst(before, now);
@@ -28,7 +28,7 @@
         return admitted;
     }
     const outlook = outlookOf(allowance, now);
-    const here = availableTokens(allowance, now) - allowance.debt;
+    const available = availableTokens(allowance, now) - allowance.debt;
     const judged = allowance.waiters.reduce<{
         readonly missing: number;
         readonly waiters: Allowance["waiters"];
@@ -39,9 +39,9 @@
         return verdict.kind === "wait"
             ? { ...sofar, missing, waiters: [...sofar.waiters, waiter] }
             : { ...sofar, effects: [...sofar.effects, { ...verdict, id: waiter.id }] };
-    }, { missing: -here, waiters: [], effects: [] });
-    const strainedAt = judged.effects.length > 0 ? now : allowance.strainedAt;
-    // A large request that was refused may have stood before small ones that can be served.
-    const rest = admitFirst({ ...allowance, waiters: judged.waiters, strainedAt }, now);
+    }, { missing: -available, waiters: [], effects: [] });
+    const lastRefusedAt = judged.effects.length > 0 ? now : allowance.lastRefusedAt;
+    // A large request that was refused may have blocked smaller ones behind it that can be served.
+    const rest = admitFirst({ ...allowance, waiters: judged.waiters, lastRefusedAt }, now);
     return { state: rest.state, effects: [...admitted.effects, ...judged.effects, ...rest.effects] };
 }
--- a/packages/allowance/src/settleCharge.ts
+++ b/packages/allowance/src/settleCharge.ts
@@ -6,12 +6,12 @@
 
 const refundPart = (allowance: Allowance, part: ChargePart, tokens: Tokens, now: Millis): Allowance => {
     const { bucket, vm, run } = allowance;
-    if (part.home === vm && part.homeRun === run) {
+    if (part.home === vm && part.homeIncarnation === run) {
         const refunded = bucket === undefined ? undefined : refundToBucket(bucket, part.slot, tokens, now);
         return { ...allowance, bucket: refunded };
     }
     const held = allowance.held.map(entry =>
-        entry.home === part.home && entry.homeRun === part.homeRun
+        entry.home === part.home && entry.homeIncarnation === part.homeIncarnation
             ? { ...entry, refunds: [...entry.refunds, { slot: part.slot, tokens }] }
             : entry
     );
@@ -19,8 +19,8 @@
 };
 
 /**
- * Ends a charge. What was not used goes back to the home that it came from, which decides how much of it still counts;
- * a shortfall is carried as debt, as the tokens are already spent.
+ * Settles the charge of a request that has ended. Unused tokens are refunded to the home that they came from, which
+ * decides how many of them it credits. A shortfall is carried as debt, as those tokens are already spent.
  */
 export function settleCharge(before: Allowance, parts: readonly ChargePart[], used: Tokens, now: Millis): Allowance {
     const charged = parts.reduce((sum, part) => sum + part.tokens, 0);
--- a/packages/allowance/src/shareOf.ts
+++ b/packages/allowance/src/shareOf.ts
@@ -2,21 +2,20 @@
 
 import type { Limits } from "./Limits.js";
 
-/** An organisation's limits and how the failure domains share them; equal parts when `shares` is left out. */
-type Shared = Limits & { readonly shares?: Readonly<Partial<Record<FailureDomain, number>>> | undefined; };
+/** An organisation's limits and the fraction of each failure domain; equal fractions if `shares` is left out. */
+type SharedLimits = Limits & { readonly shares?: Readonly<Partial<Record<FailureDomain, number>>> | undefined; };
 
 /**
- * Gives the part of an organisation's limits that one failure domain holds.
+ * Returns one failure domain's share of an organisation's limits.
  *
- * The domains come from the configuration, not from the membership: two VMs that see different VMs but hold the same
- * revision must come to shares that sum to the whole.
+ * The domains come from the configuration, not from the membership: two VMs that know of different VMs but have the
+ * same revision must compute shares that add up to the organisation's limits.
  *
- * @param whole the organisation's limits
- * @param domain the failure domain
+ * @param total the organisation's limits
  * @param domains all failure domains that the configuration names
  */
-export function shareOf(whole: Shared, domain: FailureDomain, domains: readonly FailureDomain[]): Limits {
+export function shareOf(total: SharedLimits, domain: FailureDomain, domains: readonly FailureDomain[]): Limits {
     const equal = domains.includes(domain) ? 1 / domains.length : 0;
-    const share = whole.shares === undefined ? equal : whole.shares[domain] ?? 0;
-    return { rate: whole.rate * share, burst: whole.burst * share };
+    const share = total.shares === undefined ? equal : total.shares[domain] ?? 0;
+    return { rate: total.rate * share, burst: total.burst * share };
 }
--- a/packages/allowance/src/slotAt.ts
+++ b/packages/allowance/src/slotAt.ts
@@ -2,7 +2,7 @@
 
 import { timing } from "./timing.js";
 
-/** Slot of a bucket's memory of levels that a moment falls into. */
+/** Returns the slot of a time; buckets record their highest level per slot. */
 export function slotAt(now: Millis): number {
     return Math.floor(now / timing.slotMs);
 }
--- a/packages/allowance/src/stepAllowance.ts
+++ b/packages/allowance/src/stepAllowance.ts
@@ -10,7 +10,7 @@
 import { availableTokens } from "./availableTokens.js";
 import { charge } from "./charge.js";
 import { handOverBucket } from "./handOverBucket.js";
-import { keepHouse } from "./keepHouse.js";
+import { maintainGrants } from "./maintainGrants.js";
 import { openBucket } from "./openBucket.js";
 import { placeAllowance } from "./placeAllowance.js";
 import { probeHomes } from "./probeHomes.js";
@@ -22,7 +22,7 @@
 type AllowanceStep = Step<Allowance, AllowanceEffect>;
 type EventOf<Kind extends AllowanceEvent["kind"]> = Extract<AllowanceEvent, { readonly kind: Kind; }>;
 
-/** Opens the own bucket where this VM may serve, and brings it to now. */
+/** Opens this VM's own bucket if it may serve as home, and advances the bucket to `now`. */
 const refresh = (allowance: Allowance, now: Millis): Allowance => {
     const { servesFrom, bucket, homes, vm } = allowance;
     const share = homes.find(home => home.vm === vm)?.limits;
@@ -34,12 +34,12 @@
         : { ...allowance, bucket: openBucket(share, servesFrom, now) };
 };
 
-/** Serves whoever waits, then asks for what is lacking. */
+/** Serves waiting requests, then asks homes for the tokens that are missing. */
 const serve = (before: Allowance, now: Millis): AllowanceStep => {
     const served = serveWaiters(before, now);
     const asked = askHomes(served.state, now);
-    const refused = served.effects.some(effect => effect.kind === "refuse");
-    const probed = refused ? probeHomes(asked.state, now) : { state: asked.state, effects: [] };
+    const hasRefused = served.effects.some(effect => effect.kind === "refuse");
+    const probed = hasRefused ? probeHomes(asked.state, now) : { state: asked.state, effects: [] };
     return { state: probed.state, effects: [...served.effects, ...asked.effects, ...probed.effects] };
 };
 
@@ -53,9 +53,9 @@
         const asked = askHomes(charged.allowance, now);
         return { state: asked.state, effects: [{ kind: "admit", id, parts: charged.parts }, ...asked.effects] };
     }
-    const until = Math.min(deadline, now + timing.unheardWaitMs);
-    const settledBy = Math.min(deadline, now + timing.settleMs);
-    const waiter = { id, tokens, since: now, until, settledBy, rounds: 0 };
+    const until = Math.min(deadline, now + timing.unansweredWaitMs);
+    const takeoverDeadline = Math.min(deadline, now + timing.takeoverMs);
+    const waiter = { id, tokens, since: now, until, takeoverDeadline, rounds: 0 };
     return serve({ ...before, waiters: [...before.waiters, waiter] }, now);
 };
 
@@ -98,17 +98,17 @@
     return serve({ ...before, held }, now);
 };
 
-/** Hands all back, unless a request waits here that came before those that lack the tokens. */
+/** Hands back all tokens, unless a request waiting here arrived before those that lack the tokens. */
 const recalled = (before: Allowance, event: EventOf<"recall">, now: Millis): AllowanceStep => {
     const oldest = before.waiters[0]?.since;
-    const waitsLonger = oldest !== undefined && now - oldest >= event.waitedMs;
-    return waitsLonger ? { state: before, effects: [] } : keepHouse(before, true, now);
+    const hasWaitedLonger = oldest !== undefined && now - oldest >= event.waitedMs;
+    return hasWaitedLonger ? { state: before, effects: [] } : maintainGrants(before, true, now);
 };
 
 const tick = (before: Allowance, now: Millis): AllowanceStep => {
     const served = serve(before, now);
-    const kept = keepHouse(served.state, false, now);
-    return { state: kept.state, effects: [...served.effects, ...kept.effects] };
+    const maintained = maintainGrants(served.state, false, now);
+    return { state: maintained.state, effects: [...served.effects, ...maintained.effects] };
 };
 
 const step = (before: Allowance, event: AllowanceEvent, now: Millis): AllowanceStep => {
@@ -130,7 +130,7 @@
         case "recall":
             return recalled(before, event, now);
         case "drain":
-            return keepHouse({ ...before, waiters: [] }, true, now);
+            return maintainGrants({ ...before, waiters: [] }, true, now);
         case "placed":
             return serve(refresh(placeAllowance(before, event, now), now), now);
         case "handed":
@@ -142,7 +142,7 @@
     }
 };
 
-/** The rule of an organisation's allowance on one VM: as taker of grants, and as home where it is one. */
+/** Applies one event to an organisation's allowance on one VM, which holds grants of homes and may be a home itself. */
 export function stepAllowance(before: Allowance, event: AllowanceEvent, now: Millis): AllowanceStep {
     return step(refresh(before, now), event, now);
 }
--- a/packages/allowance/src/timing.ts
+++ b/packages/allowance/src/timing.ts
@@ -1,52 +1,53 @@
 const GRANT_MS = 1_500;
 const CLOCK_MARGIN = 1.05;
 
-/** Times that taker and giver of a grant have to agree on, in milliseconds. */
+/** Times on which a home and the holders of its grants have to agree, in milliseconds. */
 const timing = {
-    /** A grant may be spent for this long, on the taker's clock from when it asked. */
+    /** A grant may be spent for this long, by the holder's clock, from when the holder asked. */
     grantMs: GRANT_MS,
     /**
-     * The giver counts a grant as unspent for this long from when it gave it. The margin covers a taker's clock that
-     * runs up to 5% slower than the giver's; without it the giver would accrue tokens anew that are still spendable.
+     * The home counts a grant as outstanding for this long from when it granted it. The margin covers a holder's clock
+     * that runs up to 5% slower than the home's; without it the home would accrue tokens again that are still
+     * spendable.
      */
     keepMs: GRANT_MS * CLOCK_MARGIN,
-    /** Refunds are accepted for charges up to this old; takers' sequence numbers are remembered for as long. */
+    /** Maximum age of a charge for which a refund is accepted; holders' sequence numbers are remembered as long. */
     refundMs: 120_000,
-    /** Width of the slots in which a bucket remembers its highest level. */
+    /** Width of the slots for each of which a bucket records its highest level. */
     slotMs: 1_000,
-    /** A request may wait this long for tokens. */
+    /** Maximum time that a request waits for tokens that have yet to accrue or to be handed back. */
     maxWaitMs: 500,
-    /** A request may wait this long for homes that have not told whether they have tokens, or that have them. */
-    unheardWaitMs: 750,
+    /** Maximum time that a request waits for homes that have not answered yet, or that have enough free tokens. */
+    unansweredWaitMs: 750,
     /**
-     * A home that has just taken over serves within this time: it reads the membership, and former grants run out. A
-     * request may wait for it this long, since refusing it would blame its organisation for a restart.
+     * Time within which a home that has just taken over serves: it reads the membership, and former grants expire. A
+     * request may wait for it this long, since a refusal would blame its organisation for a restart.
      */
-    settleMs: 3_000,
-    /** Pause between asking homes again while requests wait. */
-    askAgainMs: 20,
-    /** An ask that is not answered within this time is late: its home is not counted on, but its answer still is. */
+    takeoverMs: 3_000,
+    /** Interval at which homes are asked again while requests wait. */
+    askIntervalMs: 20,
+    /** An ask not answered within this time is late: its home is not relied on, but its answer is still accepted. */
     askLateMs: 250,
     /**
-     * An ask without an answer is given up after this long, and made anew. Answers to it are void from then on, so a home
-     * that always takes longer gives nothing.
+     * An ask without an answer fails after this long and is sent again. Answers to it are ignored from then on, so a
+     * home that always takes longer grants nothing.
      */
     askTimeoutMs: 1_000,
-    /** A home that failed to answer counts as out of reach for this long; it is asked again meanwhile. */
+    /** A home that failed to answer counts as unreachable for this long; it is asked again meanwhile. */
     unreachableMs: 1_000,
-    /** A home that failed or declined is asked again after this long. */
-    askFailedMs: 50,
-    /** What another VM told about its bucket counts as current for this long. */
+    /** Interval at which a home that failed or declined is asked again while requests wait. */
+    failedAskIntervalMs: 50,
+    /** Time for which a VM's latest ask or answer counts as current. */
     freshMs: 250,
-    /** Asks ahead of need keep this distance. */
-    askAheadMs: 50,
-    /** A home hears of tokens spent after this long at the latest. */
+    /** Interval of asks ahead of need, and of asks while the organisation is over its rate. */
+    askAheadIntervalMs: 50,
+    /** Time since the latest ask after which spent tokens are reported to their home. */
     reportMs: 100,
-    /** Tokens are held ahead for this long of recent spending. */
+    /** Tokens held ahead of need cover the recent spending for this long. */
     aheadMs: 200,
-    /** A VM hands back its tokens when it has not spent any for this long. */
+    /** A VM hands back its tokens if it has not spent any for this long. */
     idleMs: 1_000,
-    /** A holder is asked to hand tokens back at most this often. */
+    /** Minimum interval between two recalls to the same holder. */
     recallMs: 50,
 } as const;
 
--- a/packages/allowance/src/viewHomes.ts
+++ b/packages/allowance/src/viewHomes.ts
@@ -19,7 +19,7 @@
     if (held.failedAt !== undefined) {
         return { state: "unanswered", forMs: now - held.failedAt };
     }
-    const forMs = now - held.heardAt;
+    const forMs = now - held.answeredAt;
     return { state: forMs < timing.freshMs ? "heard" : "unheard", forMs };
 };
 
@@ -28,7 +28,7 @@
         ? { home: vm, state: "unheard", forMs: Infinity, free: 0, elsewhere: 0 }
         : { home: vm, ...stateOf(held, now), free: held.free, elsewhere: held.elsewhere };
 
-/** Sums up what this VM knows of each home of an organisation. */
+/** Describes each home of an organisation as known to this VM, for logs. */
 export function viewHomes(allowance: Allowance, now: Millis): readonly HomeView[] {
     return allowance.homes.map(home =>
         home.vm === allowance.vm
