--- a/packages/request/src/DeathReport.ts
+++ b/packages/request/src/DeathReport.ts
@@ -1,8 +1,8 @@
 import type { EndpointDeath } from "./EndpointDeath.js";
 
-/** A death of an endpoint, with what the VMs said that they ran there. */
+/** The death of an endpoint, with the requests that the VMs reported as running there. */
 export type DeathReport = {
     readonly death: EndpointDeath;
-    /** Whether every VM has said what it ran there; otherwise a request nobody told of may be at fault. */
+    /** Whether every VM has reported what it ran there; if not, an unreported request may be the cause. */
     readonly complete: boolean;
 };
--- a/packages/request/src/EndpointDeath.ts
+++ b/packages/request/src/EndpointDeath.ts
@@ -2,7 +2,7 @@
 
 import type { RequestFingerprint } from "./RequestFingerprint.js";
 
-/** One death of an endpoint, with the requests that ran there on any VM. */
+/** One death of an endpoint, with the requests that any VM was running there when it died. */
 export type EndpointDeath = {
     readonly id: string;
     readonly endpoint: EndpointName;
--- a/packages/request/src/HedgeDecision.ts
+++ b/packages/request/src/HedgeDecision.ts
@@ -2,7 +2,10 @@
 
 import type { RetryBudget } from "./RetryBudget.js";
 
-/** `hedge`: begin a second try and cancel whichever is slower to its first piece; `wait`: ask again then. */
+/**
+ * Whether to begin a second try beside a slow first one. `hedge`: begin it, and cancel the one whose first piece comes
+ * later; `wait`: decide again at `until`.
+ */
 export type HedgeDecision =
     | { readonly kind: "hedge"; readonly budget: RetryBudget; }
     | { readonly kind: "wait"; readonly until: Millis; }
--- a/packages/request/src/MAX_TRIES.ts
+++ b/packages/request/src/MAX_TRIES.ts
@@ -1,4 +1,4 @@
-/** Tries of one request at most, the first one included. */
+/** Maximum number of tries of one request, including the first. */
 const MAX_TRIES = 4;
 
 export { MAX_TRIES };
--- a/packages/request/src/Probe.ts
+++ b/packages/request/src/Probe.ts
@@ -1,2 +1,2 @@
-/** What asking a process once whether it lives shows; `unclear` where it may be about to go, or was not reached. */
+/** Result of probing a process once. `unclear`: it may be dying, or the probe did not reach it. */
 export type Probe = "alive" | "dead" | "unclear";
--- a/packages/request/src/ProbePace.ts
+++ b/packages/request/src/ProbePace.ts
@@ -1,9 +1,9 @@
 import type { Millis } from "@azureshunt/core";
 
-/** How a process is asked again whether it lives. */
+/** Timing of repeated probes of a process. */
 export type ProbePace = {
-    /** Between two askings. */
+    /** Delay between two probes. */
     readonly againMs: Millis;
-    /** For all of them. */
+    /** Time limit for all probes together. */
     readonly allMs: Millis;
 };
--- a/packages/request/src/RequestState.ts
+++ b/packages/request/src/RequestState.ts
@@ -1,14 +1,13 @@
 import type { Millis, Ran } from "@azureshunt/core";
 
-/** What is known of one request between its tries. */
+/** State of one request between its tries. */
 export type RequestState = {
     readonly repeatable: boolean;
-    /** When its first piece must have been begun. */
+    /** Time by which its answer must have started; not applied once the caller has received a piece. */
     readonly deadline: Millis;
-    /** Tries begun so far. */
     readonly tries: number;
-    /** Position of the first piece that the caller lacks; 0 while it has received nothing. */
+    /** Position of the first piece that the caller has not received; 0 until it has received one. */
     readonly next: number;
-    /** Whether any try so far may have run. */
+    /** Whether any try so far has run at an endpoint. */
     readonly ran: Ran;
 };
--- a/packages/request/src/RetryBudget.ts
+++ b/packages/request/src/RetryBudget.ts
@@ -1,10 +1,10 @@
 /**
- * Tokens for tries beyond the first, shared by all requests of a daemon: over any span, such tries number at most
- * `capacity` plus `perRequest` times the requests.
+ * Token bucket for retries, shared by many requests. Over any period, there are at most `capacity` retries plus
+ * `perRequest` times the number of requests.
  */
 export type RetryBudget = {
     readonly balance: number;
     readonly capacity: number;
-    /** Part of a token that each arriving request adds. */
+    /** Fraction of a token that each arriving request adds. */
     readonly perRequest: number;
 };
--- a/packages/request/src/RetryPlan.ts
+++ b/packages/request/src/RetryPlan.ts
@@ -3,7 +3,7 @@
 import type { RequestState } from "./RequestState.js";
 import type { RetryBudget } from "./RetryBudget.js";
 
-/** What follows a failed try: an error for the caller now, or a further try from a position. */
+/** What follows a failed try: an error for the caller, or a retry from the piece at position `from`. */
 export type RetryPlan =
     | { readonly kind: "answer"; readonly refusal: Refusal; readonly reason: RetryPlanReason; }
     | {
@@ -13,5 +13,5 @@
         readonly budget: RetryBudget;
     };
 
-/** Why no further try is made; a label of the counter of requests given up. */
+/** Why there is no retry; a label value of the counter of requests given up. */
 type RetryPlanReason = "final" | "not-repeatable" | "tries" | "deadline" | "budget";
--- a/packages/request/src/StreamState.ts
+++ b/packages/request/src/StreamState.ts
@@ -1,11 +1,11 @@
 import type { DispatchId } from "@azureshunt/core";
 
-/** What a caller has received of a streamed answer, and the try that continues it. */
+/** How much of a streamed answer the caller has received, and the try that continues it. */
 export type StreamState = {
-    /** The try whose pieces are accepted now. */
+    /** The only try whose pieces are accepted. */
     readonly dispatchId: DispatchId;
-    /** Position of the only piece that is accepted next; a further try resumes from here. */
+    /** Position of the only piece that is accepted next; a retry resumes from here. */
     readonly next: number;
-    /** `broken`: this try has skipped a piece and can't be continued; `complete`: the last piece has been accepted. */
+    /** `broken`: this try skipped a piece and cannot be continued; `complete`: the last piece has been accepted. */
     readonly phase: "open" | "broken" | "complete";
 };
--- a/packages/request/src/TryFailure.ts
+++ b/packages/request/src/TryFailure.ts
@@ -1,16 +1,16 @@
 import type { Refusal } from "@azureshunt/core";
 
 /**
- * Why a try did not bring the whole answer.
+ * Why a try did not return the complete answer.
  *
- * - `unreached`: no byte of the request left this daemon.
- * - `refused`: the endpoint said that it did not run the request; `full` when it was for want of room.
- * - `failed`: the endpoint answered with an error of its own and may have run the request.
- * - `died`: the connection broke after the request went out.
- * - `silent`: nothing came within the idle bound.
+ * - `unreached`: no byte of the request left this process.
+ * - `refused`: the endpoint said that it did not run the request; `full` if it had no capacity.
+ * - `failed`: the endpoint answered with an error and may have run the request.
+ * - `died`: the connection broke after the request was sent.
+ * - `silent`: nothing was received within the idle timeout.
  * - `gap`: a piece of the stream was missing.
- * - `crossed`: the answer was to another request.
- * - `stopped`: this daemon ended the request, for the refusal's reason; repeating it is out of the question.
+ * - `crossed`: the answer belonged to another request.
+ * - `stopped`: this process ended the request, for the reason in `refusal`; it must not be retried.
  * - `unplaced`: no endpoint was found for the try.
  */
 export type TryFailure =
--- a/packages/request/src/__tests__/unit/retry.test.ts
+++ b/packages/request/src/__tests__/unit/retry.test.ts
@@ -18,7 +18,7 @@
 const BUDGET = fullRetryBudget(2, 0.25);
 const EMPTY: RetryBudget = { ...BUDGET, balance: 0 };
 const FRESH: RequestState = { repeatable: true, deadline: DEADLINE, tries: 1, next: 0, ran: "no" };
-const ONCE: RequestState = { ...FRESH, repeatable: false };
+const NOT_REPEATABLE: RequestState = { ...FRESH, repeatable: false };
 
 const stopped = (kind: "withdrawn-key" | "request-crashes-endpoints"): TryFailure => ({
     kind: "stopped",
@@ -36,7 +36,7 @@
     readonly ran: Ran;
 };
 
-// A request is tried again where that does harm, or its caller is told "not run" of one that went out.
+// Guards against retries of a request that may not be repeated, and against "not run" for a request that was sent.
 const cases: readonly PlanCase[] = [
     { name: "repeatable, endpoint died", request: FRESH, failure: { kind: "died" }, plan: "retry 0", ran: "maybe" },
     { name: "repeatable, silent", request: FRESH, failure: { kind: "silent" }, plan: "retry 0", ran: "maybe" },
@@ -49,7 +49,7 @@
         ran: "maybe",
     },
     {
-        name: "a stream that has begun is resumed after the deadline for its start",
+        name: "a stream that has started is resumed even after the deadline for its start",
         request: { ...FRESH, next: 3, ran: "maybe" },
         failure: { kind: "gap" },
         now: DEADLINE,
@@ -72,7 +72,7 @@
         ran: "maybe",
     },
     {
-        name: "too late, not run",
+        name: "deadline passed, not run",
         request: FRESH,
         failure: { kind: "unreached" },
         now: DEADLINE,
@@ -80,7 +80,7 @@
         ran: "no",
     },
     {
-        name: "too late, may have run",
+        name: "deadline passed, may have run",
         request: FRESH,
         failure: { kind: "died" },
         now: DEADLINE,
@@ -89,36 +89,42 @@
     },
     {
         name: "not repeatable, endpoint died",
-        request: ONCE,
+        request: NOT_REPEATABLE,
         failure: { kind: "died" },
         plan: "answer-lost not-repeatable",
         ran: "maybe",
     },
     {
         name: "not repeatable, silent",
-        request: ONCE,
+        request: NOT_REPEATABLE,
         failure: { kind: "silent" },
         plan: "answer-lost not-repeatable",
         ran: "maybe",
     },
     {
         name: "not repeatable, crossed",
-        request: ONCE,
+        request: NOT_REPEATABLE,
         failure: { kind: "crossed" },
         plan: "answer-lost not-repeatable",
         ran: "maybe",
     },
     {
-        name: "not repeatable, error of the endpoint",
-        request: ONCE,
+        name: "not repeatable, error from the endpoint",
+        request: NOT_REPEATABLE,
         failure: { kind: "failed" },
         plan: "answer-lost not-repeatable",
         ran: "maybe",
     },
-    { name: "not repeatable, never sent", request: ONCE, failure: { kind: "unreached" }, plan: "retry 0", ran: "no" },
+    {
+        name: "not repeatable, never sent",
+        request: NOT_REPEATABLE,
+        failure: { kind: "unreached" },
+        plan: "retry 0",
+        ran: "no",
+    },
     {
         name: "not repeatable, refused",
-        request: ONCE,
+        request: NOT_REPEATABLE,
         failure: { kind: "refused", full: true },
         plan: "retry 0",
         ran: "no",
@@ -130,9 +136,9 @@
         plan: "overloaded tries",
         ran: "no",
     },
-    { name: "nobody to try, never run", request: FRESH, failure: unplaced, plan: "no-endpoint final", ran: "no" },
+    { name: "no endpoint found, not run", request: FRESH, failure: unplaced, plan: "no-endpoint final", ran: "no" },
     {
-        name: "nobody to try, an earlier try may have run",
+        name: "no endpoint found, an earlier try may have run",
         request: { ...FRESH, ran: "maybe" },
         failure: unplaced,
         plan: "endpoint-failed final",
@@ -184,27 +190,27 @@
     unplaced,
 );
 
-test("retry: what may not be repeated is sent out at most once, and \"not run\" is true", t => {
-    const sent = (failure: TryFailure) => !["unreached", "refused", "unplaced"].includes(failure.kind);
+test("retry: a request that may not be repeated is sent at most once, and \"not run\" is always true", t => {
+    const isSent = (failure: TryFailure) => !["unreached", "refused", "unplaced"].includes(failure.kind);
     fc.assert(
         fc.property(
             fc.array(failures, { minLength: 1, maxLength: 8, size: "max" }),
             fc.boolean(),
             (sequence, repeatable) => {
                 let request: RequestState = { ...FRESH, repeatable };
-                let answered = false;
+                let isAnswered = false;
                 let runs = 0;
                 return sequence.every(failure => {
-                    if (answered) {
+                    if (isAnswered) {
                         return true;
                     }
-                    runs += sent(failure) ? 1 : 0;
+                    runs += isSent(failure) ? 1 : 0;
                     const plan = planAfterFailure(request, failure, BUDGET, 0);
-                    answered = plan.kind === "answer";
+                    isAnswered = plan.kind === "answer";
                     const ran = plan.kind === "answer" ? plan.refusal.ran : plan.request.ran;
                     request = plan.kind === "retry" ? { ...plan.request, tries: plan.request.tries + 1 } : request;
-                    const once = repeatable || runs === 0 || (runs === 1 && answered);
-                    return once && (ran !== "no" || runs === 0);
+                    const isSentOnce = repeatable || runs === 0 || (runs === 1 && isAnswered);
+                    return isSentOnce && (ran !== "no" || runs === 0);
                 });
             },
         ),
@@ -213,33 +219,33 @@
     t.pass();
 });
 
-// A failure domain goes, and tries made again double the load on the others.
+// If a failure domain dies, unlimited retries would multiply the load on the others.
 test("retry: a dead failure domain causes no retry storm", t => {
     const requests = 1_000;
     let budget = fullRetryBudget(20, 0.1);
     let tries = 0;
     Array.from({ length: requests }).forEach(() => {
         budget = earnRetry(budget);
-        const left = spendRetry(budget);
-        tries += left === undefined ? 0 : 1;
-        budget = left ?? budget;
+        const remaining = spendRetry(budget);
+        tries += remaining === undefined ? 0 : 1;
+        budget = remaining ?? budget;
     });
     t.true(tries <= 20 + requests * 0.1);
     t.true(tries >= requests * 0.1);
 });
 
-const HEDGE = { request: FRESH, dispatchedAt: 0, estimate: 100, hedged: false, budget: BUDGET };
+const HEDGE = { request: FRESH, dispatchedAt: 0, estimatedFirstTokenMs: 100, isHedged: false, budget: BUDGET };
 
 [
-    { name: "slow", question: HEDGE, now: 400, kind: "hedge" },
-    { name: "not slow yet", question: HEDGE, now: 399, kind: "wait" },
-    { name: "hedged already", question: { ...HEDGE, hedged: true }, now: 400, kind: "never" },
-    { name: "may not be repeated", question: { ...HEDGE, request: ONCE }, now: 400, kind: "never" },
-    { name: "first piece is there", question: { ...HEDGE, request: { ...FRESH, next: 1 } }, now: 400, kind: "never" },
-    { name: "no budget", question: { ...HEDGE, budget: EMPTY }, now: 400, kind: "never" },
-    { name: "would only begin after the deadline", question: { ...HEDGE, estimate: 400 }, now: 0, kind: "never" },
-].forEach(({ name, question, now, kind }) =>
+    { name: "slow", input: HEDGE, now: 400, kind: "hedge" },
+    { name: "not slow yet", input: HEDGE, now: 399, kind: "wait" },
+    { name: "hedged already", input: { ...HEDGE, isHedged: true }, now: 400, kind: "never" },
+    { name: "may not be repeated", input: { ...HEDGE, request: NOT_REPEATABLE }, now: 400, kind: "never" },
+    { name: "first piece has arrived", input: { ...HEDGE, request: { ...FRESH, next: 1 } }, now: 400, kind: "never" },
+    { name: "no budget", input: { ...HEDGE, budget: EMPTY }, now: 400, kind: "never" },
+    { name: "slow only after the deadline", input: { ...HEDGE, estimatedFirstTokenMs: 400 }, now: 0, kind: "never" },
+].forEach(({ name, input, now, kind }) =>
     test(`hedge: ${name}`, t => {
-        t.is(decideHedge(question, now).kind, kind as "hedge");
+        t.is(decideHedge(input, now).kind, kind as "hedge");
     })
 );
--- a/packages/request/src/__tests__/unit/stream.test.ts
+++ b/packages/request/src/__tests__/unit/stream.test.ts
@@ -18,81 +18,83 @@
     last: position === LENGTH - 1,
 });
 
-type Run = { readonly state: StreamState; readonly passed: readonly number[]; readonly marks: readonly string[]; };
+type Run = { readonly state: StreamState; readonly forwarded: readonly number[]; readonly effects: readonly string[]; };
 
 const feed = (start: StreamState, pieces: readonly StreamPiece[]): Run =>
     pieces.reduce<Run>((run, next) => {
         const { state, effects } = acceptPiece(run.state, next);
         return {
             state,
-            passed: effects.some(effect => effect.kind === "pass") ? [...run.passed, next.position] : run.passed,
-            marks: [
-                ...run.marks,
+            forwarded: effects.some(effect => effect.kind === "pass")
+                ? [...run.forwarded, next.position]
+                : run.forwarded,
+            effects: [
+                ...run.effects,
                 ...effects.map(effect => (effect.kind === "discard" ? effect.reason : effect.kind)),
             ],
         };
-    }, { state: start, passed: [], marks: [] });
+    }, { state: start, forwarded: [], effects: [] });
 
-// A stream is resumed on another engine, and late, repeated or missing pieces of the first one reach the caller.
+// After a stream is resumed on another engine, late, repeated or missing pieces of the first one must not reach the caller.
 [
     {
-        name: "pieces in order pass, and the last one completes the answer",
+        name: "pieces in order are forwarded, and the last one completes the answer",
         start: openStream(FIRST),
         pieces: [0, 1, 2, 3, 4, 5].map(at => piece(FIRST, at)),
-        passed: [0, 1, 2, 3, 4, 5],
-        marks: ["pass", "pass", "pass", "pass", "pass", "pass"],
+        forwarded: [0, 1, 2, 3, 4, 5],
+        effects: ["pass", "pass", "pass", "pass", "pass", "pass"],
         phase: "complete",
     },
     {
-        name: "a piece sent twice passes once",
+        name: "a piece sent twice is forwarded once",
         start: openStream(FIRST),
         pieces: [0, 1, 1, 0, 2].map(at => piece(FIRST, at)),
-        passed: [0, 1, 2],
-        marks: ["pass", "pass", "duplicate", "duplicate", "pass"],
+        forwarded: [0, 1, 2],
+        effects: ["pass", "pass", "duplicate", "duplicate", "pass"],
         phase: "open",
     },
     {
-        name: "a missing piece breaks the try, and nothing passes after it",
+        name: "a missing piece breaks the try, and nothing is forwarded after it",
         start: openStream(FIRST),
         pieces: [0, 2, 1, 2].map(at => piece(FIRST, at)),
-        passed: [0],
-        marks: ["pass", "break", "late", "late"],
+        forwarded: [0],
+        effects: ["pass", "break", "late", "late"],
         phase: "broken",
     },
     {
-        name: "pieces of the former try are dropped after the resume",
+        name: "pieces of the previous try are dropped after the resume",
         start: openStream(SECOND, 2),
         pieces: [piece(FIRST, 2), piece(SECOND, 2), piece(FIRST, 3), piece(SECOND, 3)],
-        passed: [2, 3],
-        marks: ["crossed", "pass", "crossed", "pass"],
+        forwarded: [2, 3],
+        effects: ["crossed", "pass", "crossed", "pass"],
         phase: "open",
     },
     {
         name: "a try that starts over instead of resuming repeats nothing",
         start: openStream(SECOND, 2),
         pieces: [0, 1, 2].map(at => piece(SECOND, at)),
-        passed: [2],
-        marks: ["duplicate", "duplicate", "pass"],
+        forwarded: [2],
+        effects: ["duplicate", "duplicate", "pass"],
         phase: "open",
     },
     {
-        name: "nothing passes after the end",
+        name: "nothing is forwarded after the last piece",
         start: openStream(FIRST, 5),
         pieces: [5, 6].map(at => piece(FIRST, at)),
-        passed: [5],
-        marks: ["pass", "late"],
+        forwarded: [5],
+        effects: ["pass", "late"],
         phase: "complete",
     },
-].forEach(({ name, start, pieces, passed, marks, phase }) =>
+].forEach(({ name, start, pieces, forwarded, effects, phase }) =>
     test(`stream: ${name}`, t => {
         const run = feed(start, pieces);
-        t.deepEqual(run.passed, passed);
-        t.deepEqual(run.marks, marks);
+        t.deepEqual(run.forwarded, forwarded);
+        t.deepEqual(run.effects, effects);
         t.is(run.state.phase, phase as StreamState["phase"]);
     })
 );
 
-test("stream: whatever comes, the caller reads a prefix, and the whole of it when complete", t => {
+test("stream: for any sequence of pieces, the caller receives a prefix of the answer, and all of it once complete", t => {
     const pieces = fc.array(
         fc.record({ second: fc.boolean(), position: fc.integer({ min: 0, max: LENGTH - 1 }) }),
         { maxLength: 60, size: "max" },
@@ -100,8 +102,8 @@
     fc.assert(
         fc.property(pieces, sent => {
             const run = feed(openStream(FIRST), sent.map(at => piece(at.second ? SECOND : FIRST, at.position)));
-            const prefix = run.passed.every((position, index) => position === index);
-            return prefix && (run.state.phase !== "complete" || run.passed.length === LENGTH);
+            const isPrefix = run.forwarded.every((position, index) => position === index);
+            return isPrefix && (run.state.phase !== "complete" || run.forwarded.length === LENGTH);
         }),
         { seed: SEED, numRuns: 2_000 },
     );
--- a/packages/request/src/__tests__/unit/suspects.test.ts
+++ b/packages/request/src/__tests__/unit/suspects.test.ts
@@ -19,22 +19,23 @@
 const NAMES = ["killer", "a", "b", "c"] as const;
 type Name = (typeof NAMES)[number];
 
-const id = (name: string): RequestFingerprint => fingerprintOf([name]);
+const fingerprint = (name: string): RequestFingerprint => fingerprintOf([name]);
 
 type Death = { readonly running: readonly Name[]; readonly complete?: boolean; readonly at?: number; };
 
-const after = (deaths: readonly Death[]): SuspectState =>
+const stateAfter = (deaths: readonly Death[]): SuspectState =>
     deaths.reduce((state, { running, complete = true, at = 0 }, index) => {
         const death = {
             id: `death-${index}`,
             endpoint: EndpointName.parse(`engine-${index}`),
             at,
-            running: running.map(id),
+            running: running.map(fingerprint),
         };
         return noteDeath(state, { death, complete }, at).state;
     }, noSuspects);
 
-// A request crashes one engine after the other, or an innocent one that shared two of them is stopped for it.
+// Guards against a request that crashes one engine after the other, and against quarantining an unrelated request that
+// happened to share two of them.
 const cases: readonly {
     readonly name: string;
     readonly deaths: readonly Death[];
@@ -42,37 +43,37 @@
     readonly suspects: readonly Name[];
 }[] = [
     {
-        name: "one death decides nothing",
+        name: "one death does not quarantine",
         deaths: [{ running: ["killer", "a"] }],
         quarantined: [],
         suspects: ["killer", "a"],
     },
     {
-        name: "the second death decides, and clears those that shared the endpoints",
+        name: "the second death quarantines the request common to both, and clears those that shared the endpoints",
         deaths: [{ running: ["killer", "a"] }, { running: ["killer", "b"] }],
         quarantined: ["killer"],
         suspects: [],
     },
     {
-        name: "two present at both deaths are not condemned",
+        name: "two requests that ran at both deaths are not quarantined",
         deaths: [{ running: ["killer", "a"] }, { running: ["killer", "a"] }],
         quarantined: [],
         suspects: ["killer", "a"],
     },
     {
-        name: "a third death tells those two apart",
+        name: "a third death tells these two apart",
         deaths: [{ running: ["killer", "a"] }, { running: ["killer", "a"] }, { running: ["killer", "b"] }],
         quarantined: ["killer"],
         suspects: [],
     },
     {
-        name: "a VM that has not answered may have run the request at fault",
+        name: "the second death does not quarantine while a VM has not reported",
         deaths: [{ running: ["a"] }, { running: ["a"], complete: false }],
         quarantined: [],
         suspects: ["a"],
     },
     {
-        name: "with a VM unheard the third death decides",
+        name: "the third death quarantines although a VM has not reported",
         deaths: [{ running: ["killer"] }, { running: ["killer"], complete: false }, {
             running: ["killer"],
             complete: false,
@@ -81,13 +82,13 @@
         suspects: [],
     },
     {
-        name: "deaths far apart are not held together",
+        name: "deaths far apart are not combined",
         deaths: [{ running: ["a"] }, { running: ["a"], at: SUSPECT_LIMITS.suspectMs }],
         quarantined: [],
         suspects: ["a"],
     },
     {
-        name: "a death with a condemned request present accuses nobody else",
+        name: "a death with a quarantined request running makes no other request a suspect",
         deaths: [{ running: ["killer"] }, { running: ["killer"] }, { running: ["killer", "b", "c"] }],
         quarantined: ["killer"],
         suspects: [],
@@ -96,47 +97,50 @@
 
 cases.forEach(({ name, deaths, quarantined, suspects }) =>
     test(`suspects: ${name}`, t => {
-        const state = after(deaths);
+        const state = stateAfter(deaths);
         const now = deaths.at(-1)?.at ?? 0;
-        t.deepEqual(NAMES.filter(request => quarantinedUntil(state, id(request), now) !== undefined), quarantined);
-        t.deepEqual(NAMES.filter(request => isSuspect(state, id(request))), suspects);
+        t.deepEqual(
+            NAMES.filter(request => quarantinedUntil(state, fingerprint(request), now) !== undefined),
+            quarantined,
+        );
+        t.deepEqual(NAMES.filter(request => isSuspect(state, fingerprint(request))), suspects);
     })
 );
 
 [
     { name: "a suspect beside another suspect", request: "a", running: ["killer"], may: false },
-    { name: "a suspect beside others", request: "a", running: ["c"], may: true },
-    { name: "others beside a suspect", request: "c", running: ["killer"], may: true },
+    { name: "a suspect beside other requests", request: "a", running: ["c"], may: true },
+    { name: "another request beside a suspect", request: "c", running: ["killer"], may: true },
     { name: "a suspect beside itself", request: "a", running: ["a"], may: true },
 ].forEach(({ name, request, running, may }) =>
     test(`suspects: sharing, ${name}`, t => {
-        const state = after([{ running: ["killer", "a"] }]);
-        t.is(mayShareEndpoint(state, id(request), running.map(id)), may);
+        const state = stateAfter([{ running: ["killer", "a"] }]);
+        t.is(mayShareEndpoint(state, fingerprint(request), running.map(fingerprint)), may);
     })
 );
 
-test("suspects: a quarantine ends at the stated time", t => {
-    const state = quarantine(noSuspects, id("killer"), 100);
-    t.is(quarantinedUntil(state, id("killer"), 99), 100);
-    t.is(quarantinedUntil(state, id("killer"), 100), undefined);
+test("suspects: a quarantine ends at the given time", t => {
+    const state = quarantine(noSuspects, fingerprint("killer"), 100);
+    t.is(quarantinedUntil(state, fingerprint("killer"), 99), 100);
+    t.is(quarantinedUntil(state, fingerprint("killer"), 100), undefined);
 });
 
-test("suspects: the same death told twice counts once", t => {
-    const death = { id: "d", endpoint: EndpointName.parse("e"), at: 0, running: [id("a")] };
+test("suspects: the same death reported twice counts once", t => {
+    const death = { id: "d", endpoint: EndpointName.parse("e"), at: 0, running: [fingerprint("a")] };
     const once = noteDeath(noSuspects, { death, complete: true }, 0).state;
     const twice = noteDeath(once, { death, complete: true }, 1);
     t.deepEqual(twice.effects, []);
     t.is(twice.state.deaths.length, 1);
 });
 
-test("suspects: spread apart, only the request at fault is ever condemned, within a few deaths, in bounded memory", t => {
-    const innocents = fc.array(fc.integer({ min: 0, max: 30 }), { minLength: 1, maxLength: 12 });
+test("suspects: on separate endpoints, only the cause is quarantined, within a few deaths and in bounded memory", t => {
+    const unrelated = fc.array(fc.integer({ min: 0, max: 30 }), { minLength: 1, maxLength: 12 });
     fc.assert(
-        fc.property(fc.array(innocents, { minLength: 2, maxLength: 6 }), crowds => {
-            const killer = id("killer");
-            const state = crowds.reduce<SuspectState>((known, crowd, index) => {
-                const beside = crowd
-                    .map(number => id(`innocent-${number}`))
+        fc.property(fc.array(unrelated, { minLength: 2, maxLength: 6 }), requestsByDeath => {
+            const killer = fingerprint("killer");
+            const state = requestsByDeath.reduce<SuspectState>((known, numbers, index) => {
+                const beside = numbers
+                    .map(number => fingerprint(`unrelated-${number}`))
                     .filter(other => mayShareEndpoint(known, killer, [other]));
                 const death = {
                     id: `d${index}`,
@@ -151,27 +155,27 @@
         { seed: SEED, numRuns: 500 },
     );
     const many = Array.from({ length: 5_000 }).reduce<SuspectState>(
-        (state, _, index) => quarantine(state, id(`q${index}`), index),
-        after([]),
+        (state, _, index) => quarantine(state, fingerprint(`q${index}`), index),
+        stateAfter([]),
     );
-    t.is(many.quarantined.size, SUSPECT_LIMITS.quarantined);
+    t.is(many.quarantined.size, SUSPECT_LIMITS.maxQuarantined);
 });
 
-test("suspects: right after a death its suspects are dealt out to different endpoints, and later go anywhere", t => {
+test("suspects: right after a death its suspects are assigned to different endpoints; later any endpoint is allowed", t => {
     const endpoints = ["engine-0", "engine-1", "engine-2", "engine-3"].map(name => EndpointName.parse(name));
-    const state = after([{ running: ["killer", "a"] }]);
-    const dealt = (name: Name, at: number) =>
-        endpoints.filter(endpoint => isSpreadTo(state, id(name), endpoint, endpoints, at));
-    const [killer, other] = [dealt("killer", 0), dealt("a", 0)];
+    const state = stateAfter([{ running: ["killer", "a"] }]);
+    const assignedTo = (name: Name, at: number) =>
+        endpoints.filter(endpoint => isSpreadTo(state, fingerprint(name), endpoint, endpoints, at));
+    const [killer, other] = [assignedTo("killer", 0), assignedTo("a", 0)];
     t.false(killer.some(endpoint => other.includes(endpoint)));
     t.true(killer.length > 0 && other.length > 0);
-    t.is(killer.length + other.length, endpoints.length - 1, "the dead endpoint is nobody's");
-    t.deepEqual(dealt("killer", 2_001), endpoints);
-    t.deepEqual(dealt("b", 0), endpoints, "others are not bound");
+    t.is(killer.length + other.length, endpoints.length - 1, "the dead endpoint is assigned to none");
+    t.deepEqual(assignedTo("killer", 2_001), endpoints);
+    t.deepEqual(assignedTo("b", 0), endpoints, "other requests are not restricted");
 });
 
-test("suspects: a request that has run to its end is a suspect no longer", t => {
-    const state = clearSuspect(after([{ running: ["killer", "a"] }]), id("a"));
-    t.false(isSuspect(state, id("a")));
-    t.true(isSuspect(state, id("killer")));
+test("suspects: a completed request is no longer a suspect", t => {
+    const state = clearSuspect(stateAfter([{ running: ["killer", "a"] }]), fingerprint("a"));
+    t.false(isSuspect(state, fingerprint("a")));
+    t.true(isSuspect(state, fingerprint("killer")));
 });
--- a/packages/request/src/acceptPiece.ts
+++ b/packages/request/src/acceptPiece.ts
@@ -12,9 +12,9 @@
 /**
  * Decides what to do with a piece of a streamed answer.
  *
- * Failure guarded against: after a resume, pieces of the former try arrive beside those of the new one, twice or with
- * one missing, and the caller reads a text that no endpoint wrote. Only the piece at the next position of the current
- * try passes, so the caller's text is always a prefix of the whole answer.
+ * After a resume, pieces of the previous try may arrive among those of the new one, duplicated or with one missing, and
+ * the caller would read a text that no endpoint generated. To prevent this, only the piece at the next position of the
+ * current try is forwarded, so the caller's text is always a prefix of the complete answer.
  */
 export function acceptPiece(state: StreamState, piece: StreamPiece): Step<StreamState, StreamEffect> {
     if (piece.dispatchId !== state.dispatchId) {
--- a/packages/request/src/clearSuspect.ts
+++ b/packages/request/src/clearSuspect.ts
@@ -1,7 +1,7 @@
 import type { RequestFingerprint } from "./RequestFingerprint.js";
 import type { SuspectState } from "./SuspectState.js";
 
-/** Takes a request off all suspicion, as it has run to its end. */
+/** Removes a request from the suspects of all deaths, because it has completed. */
 export function clearSuspect(state: SuspectState, request: RequestFingerprint): SuspectState {
     const deaths = state.deaths.map(death =>
         death.running.includes(request)
--- a/packages/request/src/decideHedge.ts
+++ b/packages/request/src/decideHedge.ts
@@ -1,31 +1,31 @@
 import type { Millis } from "@azureshunt/core";
 
 import type { HedgeDecision } from "./HedgeDecision.js";
-import type { HedgeQuestion } from "./HedgeQuestion.js";
+import type { HedgeInput } from "./HedgeInput.js";
 import { spendRetry } from "./spendRetry.js";
 
-/** A try counts as slow after this many times its estimate. */
+/** A try counts as slow once it has taken this many times its estimated time to the first token. */
 const SLOW_FACTOR = 3;
 
-/** No try counts as slow before, as an estimate of a few milliseconds says little. */
-const MIN_WAIT_MS = 400;
+/** No try counts as slow before this, because an estimate of a few milliseconds is too inaccurate to multiply. */
+const MIN_SLOW_MS = 400;
 
 /**
- * Decides whether a second try is begun beside a slow first one: only for what may be repeated, before the first piece,
- * before the deadline and within the retry budget.
+ * Decides whether to begin a second try beside a slow first one. This is done only for a repeatable request, before its
+ * first piece has arrived, before its deadline and within the retry budget.
  */
-export function decideHedge(question: HedgeQuestion, now: Millis): HedgeDecision {
-    const { request, dispatchedAt, estimate, hedged, budget } = question;
-    if (!request.repeatable || request.next > 0 || hedged) {
+export function decideHedge(input: HedgeInput, now: Millis): HedgeDecision {
+    const { request, dispatchedAt, estimatedFirstTokenMs, isHedged, budget } = input;
+    if (!request.repeatable || request.next > 0 || isHedged) {
         return { kind: "never" };
     }
-    const slowAt = dispatchedAt + Math.max(MIN_WAIT_MS, estimate * SLOW_FACTOR);
+    const slowAt = dispatchedAt + Math.max(MIN_SLOW_MS, estimatedFirstTokenMs * SLOW_FACTOR);
     if (slowAt >= request.deadline || now >= request.deadline) {
         return { kind: "never" };
     }
     if (now < slowAt) {
         return { kind: "wait", until: slowAt };
     }
-    const left = spendRetry(budget);
-    return left === undefined ? { kind: "never" } : { kind: "hedge", budget: left };
+    const remaining = spendRetry(budget);
+    return remaining === undefined ? { kind: "never" } : { kind: "hedge", budget: remaining };
 }
--- a/packages/request/src/fingerprintOf.ts
+++ b/packages/request/src/fingerprintOf.ts
@@ -5,10 +5,10 @@
 const HEX_DIGITS = 32;
 
 /**
- * Digests what a request asks for.
+ * Computes the fingerprint of a request.
  *
- * @param parts everything that makes the request what it is, in a fixed order; the organisation goes first, so that one
- *     organisation's request never stands for another's
+ * @param parts everything that identifies the request, in a fixed order; the organisation comes first, so that requests
+ *     of different organisations never have the same fingerprint
  */
 export function fingerprintOf(parts: readonly (string | Uint8Array)[]): RequestFingerprint {
     const hash = createHash("sha256");
--- a/packages/request/src/forgetExpired.ts
+++ b/packages/request/src/forgetExpired.ts
@@ -3,7 +3,7 @@
 import { SUSPECT_LIMITS } from "./SUSPECT_LIMITS.js";
 import type { SuspectState } from "./SuspectState.js";
 
-/** Drops deaths and quarantines that are past their time. */
+/** Drops expired deaths and quarantines. */
 export function forgetExpired(state: SuspectState, now: Millis): SuspectState {
     return {
         ...state,
--- a/packages/request/src/fullRetryBudget.ts
+++ b/packages/request/src/fullRetryBudget.ts
@@ -1,10 +1,10 @@
 import type { RetryBudget } from "./RetryBudget.js";
 
 /**
- * A budget with all its tokens there.
+ * Creates a retry budget that holds all its tokens.
  *
- * @param capacity tries that may come at once, such as when one endpoint with many streams dies
- * @param perRequest tries for each request in the long run
+ * @param capacity retries possible at once, for example when an endpoint with many streams dies
+ * @param perRequest retries per request on average
  */
 export function fullRetryBudget(capacity: number, perRequest: number): RetryBudget {
     return { balance: capacity, capacity, perRequest };
--- a/packages/request/src/heldUntil.ts
+++ b/packages/request/src/heldUntil.ts
@@ -7,14 +7,15 @@
 import type { SuspectState } from "./SuspectState.js";
 
 /**
- * Until when a request is held if nothing more becomes known of the deaths that it was present at; undefined when it may
- * run, and `now` when it waits only for what endpoints show.
+ * Returns the time until which a request is withheld if nothing more becomes known of the deaths it was running at.
+ *
+ * @returns `undefined` if it may run, and `now` if it is withheld only because of possible deaths not checked yet
  */
 export function heldUntil(state: SuspectState, request: RequestFingerprint, now: Millis): Millis | undefined {
     if (!isHeld(state, request)) {
         return undefined;
     }
-    // It may run again once so many deaths are forgotten that too few are left to hold it.
-    const decisive = deathsOf(state, request).at(-SUSPECT_LIMITS.endpoints);
+    // It may run again once too few deaths are left to withhold it, that is when the oldest of the newest ones expires.
+    const decisive = deathsOf(state, request).at(-SUSPECT_LIMITS.withholdAtDeaths);
     return decisive === undefined ? now : decisive.at + SUSPECT_LIMITS.suspectMs;
 }
--- a/packages/request/src/index.ts
+++ b/packages/request/src/index.ts
@@ -1,4 +1,4 @@
-/** One caller's request: stream positions, retries, and requests that crash endpoints. */
+/** Handling of one request: positions in a stream, retries, hedging, and requests that crash endpoints. */
 export { acceptPiece } from "./acceptPiece.js";
 export { clearSuspect } from "./clearSuspect.js";
 export type { DeathReport } from "./DeathReport.js";
@@ -11,7 +11,7 @@
 export { fullRetryBudget } from "./fullRetryBudget.js";
 export { hasSuspects } from "./hasSuspects.js";
 export type { HedgeDecision } from "./HedgeDecision.js";
-export type { HedgeQuestion } from "./HedgeQuestion.js";
+export type { HedgeInput } from "./HedgeInput.js";
 export { heldUntil } from "./heldUntil.js";
 export { isHeld } from "./isHeld.js";
 export { isSpreadTo } from "./isSpreadTo.js";
--- a/packages/request/src/isHeld.ts
+++ b/packages/request/src/isHeld.ts
@@ -4,12 +4,13 @@
 import type { SuspectState } from "./SuspectState.js";
 
 /**
- * Whether a request is not to be run until the deaths that it was present at are judged.
+ * Returns whether a request must not run until the cause of the deaths it was running at is known.
  *
- * Failure guarded against: a VM answers late what it ran, so the second death decides nothing, and the request crashes a
- * third endpoint meanwhile. A death that is not judged yet counts like one that is.
+ * If a VM is late to report what it ran, the second death does not yet lead to a quarantine, and the request would crash
+ * a third endpoint in the meantime. To prevent this, a possible death that has not been checked yet counts like a
+ * confirmed one.
  */
 export function isHeld(state: SuspectState, request: RequestFingerprint): boolean {
-    const noted = deathsOf(state, request).map(death => death.id);
-    return new Set([...noted, ...state.unjudged.get(request) ?? []]).size >= SUSPECT_LIMITS.endpoints;
+    const deathIds = deathsOf(state, request).map(death => death.id);
+    return new Set([...deathIds, ...state.unjudged.get(request) ?? []]).size >= SUSPECT_LIMITS.withholdAtDeaths;
 }
--- a/packages/request/src/isSpreadTo.ts
+++ b/packages/request/src/isSpreadTo.ts
@@ -4,14 +4,14 @@
 import type { RequestFingerprint } from "./RequestFingerprint.js";
 import type { SuspectState } from "./SuspectState.js";
 
-/** How long after a death its suspects keep to the endpoints that are theirs; later they may go anywhere. */
-const SPREAD_MS = 2_000;
+/** How long after a death its suspects are restricted to their assigned endpoints; later, any endpoint is allowed. */
+const ASSIGNMENT_MS = 2_000;
 
 /**
- * Whether an endpoint is among those that a suspect is to be tried on right after a death. All VMs deal the endpoints out
- * to the suspects of a death alike, so that suspects of different VMs do not meet on one endpoint again.
+ * Returns whether an endpoint is one of those on which a suspect may be retried right after a death. All VMs assign the
+ * endpoints to the suspects of a death in the same way, so that suspects of different VMs do not share an endpoint again.
  *
- * @param endpoints all endpoints that may serve it
+ * @param endpoints all endpoints that can serve the request
  */
 export function isSpreadTo(
     state: SuspectState,
@@ -21,15 +21,17 @@
     now: Millis,
 ): boolean {
     const death = deathsOf(state, request).at(-1);
-    if (death === undefined || now - death.at > SPREAD_MS) {
+    if (death === undefined || now - death.at > ASSIGNMENT_MS) {
         return true;
     }
-    const others = endpoints.filter(name => name !== death.endpoint).sort();
-    const place = others.indexOf(endpoint);
-    if (place < 0) {
-        return others.length === 0;
+    const candidates = endpoints.filter(name => name !== death.endpoint).sort();
+    const endpointIndex = candidates.indexOf(endpoint);
+    if (endpointIndex < 0) {
+        return candidates.length === 0;
     }
     const suspects = [...death.running].sort();
-    const index = suspects.indexOf(request);
-    return suspects.length <= others.length ? place % suspects.length === index : index % others.length === place;
+    const suspectIndex = suspects.indexOf(request);
+    return suspects.length <= candidates.length
+        ? endpointIndex % suspects.length === suspectIndex
+        : suspectIndex % candidates.length === endpointIndex;
 }
--- a/packages/request/src/mayShareEndpoint.ts
+++ b/packages/request/src/mayShareEndpoint.ts
@@ -3,10 +3,10 @@
 import type { SuspectState } from "./SuspectState.js";
 
 /**
- * Whether a request may go to an endpoint beside what is running there.
+ * Returns whether a request may be sent to an endpoint, given the requests already running there.
  *
- * Failure guarded against: two suspects share an endpoint again, it dies again, and nothing tells the request at fault
- * from the innocent one. With at most one suspect on an endpoint, the next death has one suspect.
+ * If two suspects shared an endpoint again and it died again, the cause could not be told from the unrelated request. To
+ * prevent this, an endpoint runs at most one suspect, so that the next death has only one.
  */
 export function mayShareEndpoint(
     state: SuspectState,
--- a/packages/request/src/noSuspects.ts
+++ b/packages/request/src/noSuspects.ts
@@ -1,6 +1,6 @@
 import type { SuspectState } from "./SuspectState.js";
 
-/** The state of a daemon that has seen no endpoint die. */
+/** Initial state, before any endpoint has died. */
 const noSuspects: SuspectState = { deaths: [], unjudged: new Map(), quarantined: new Map() };
 
 export { noSuspects };
--- a/packages/request/src/noteBreak.ts
+++ b/packages/request/src/noteBreak.ts
@@ -2,11 +2,11 @@
 import type { SuspectState } from "./SuspectState.js";
 
 /**
- * Notes that a try broke off, before it is known whether the endpoint has died.
+ * Records that a try broke off, before it is known whether the endpoint has died.
  *
- * @param death id of the death that it would be
+ * @param deathId id that the death has if the endpoint has died
  */
-export function noteBreak(state: SuspectState, request: RequestFingerprint, death: string): SuspectState {
-    const ids = [...new Set([...state.unjudged.get(request) ?? [], death])];
-    return { ...state, unjudged: new Map([...state.unjudged, [request, ids] as const]) };
+export function noteBreak(state: SuspectState, request: RequestFingerprint, deathId: string): SuspectState {
+    const deathIds = [...new Set([...state.unjudged.get(request) ?? [], deathId])];
+    return { ...state, unjudged: new Map([...state.unjudged, [request, deathIds] as const]) };
 }
--- a/packages/request/src/noteDeath.ts
+++ b/packages/request/src/noteDeath.ts
@@ -9,14 +9,18 @@
 import type { SuspectEffect } from "./SuspectEffect.js";
 import type { SuspectState } from "./SuspectState.js";
 
-/** Earlier deaths that decide when all VMs have said what they ran. */
-const EARLIER_DEATHS = 1;
+/** Earlier deaths of a suspect that lead to its quarantine if all VMs have reported what they ran. */
+const MIN_EARLIER_DEATHS = 1;
 
-/** Earlier deaths that decide when some VM has not answered: it may have run the request at fault. */
-const EARLIER_DEATHS_UNHEARD = 2;
+/** The same if a VM has not reported yet: one more is required, because that VM may have run the cause. */
+const MIN_EARLIER_DEATHS_INCOMPLETE = 2;
 
-/** What is known of a death with a report added: VMs that answer late, and several that gather, add to what was told. */
-const merge = (known: SuspectedDeath | undefined, { death, complete }: DeathReport, now: Millis): SuspectedDeath => {
+/** Merges a report into what is known of a death. VMs may report late, and several VMs may collect the reports. */
+const mergeReport = (
+    known: SuspectedDeath | undefined,
+    { death, complete }: DeathReport,
+    now: Millis,
+): SuspectedDeath => {
     const cleared = known?.cleared ?? [];
     const running = [...known?.running ?? [], ...death.running.filter(request => !cleared.includes(request))];
     return {
@@ -29,35 +33,39 @@
 };
 
 /**
- * Takes in the death of an endpoint, or more about one that is known.
+ * Records the death of an endpoint, or a further report on a known death.
  *
- * Failure guarded against: a request crashes each endpoint that runs it, its caller sends it again, and one endpoint
- * after the other goes. The second separate death decides, if just one request was present at both. Where several were,
- * by chance, none is condemned: they stay suspects, are spread apart and the next death tells them apart.
+ * If a request crashes every endpoint that runs it and its caller keeps sending it, one endpoint after the other dies. To
+ * prevent this, the second separate death quarantines the request if it is the only one that was running at both. If
+ * several requests were running at both by chance, none is quarantined: they stay suspects, are sent to different
+ * endpoints, and the next death tells them apart.
  */
 export function noteDeath(state: SuspectState, report: DeathReport, now: Millis): Step<SuspectState, SuspectEffect> {
-    const fresh = forgetExpired(state, now);
-    const known = fresh.deaths.find(other => other.id === report.death.id);
-    const death = merge(known, report, now);
-    const before = { ...fresh, deaths: fresh.deaths.filter(other => other !== known) };
-    if (death.running.some(request => fresh.quarantined.has(request))) {
-        return { state: before, effects: [] };
+    const current = forgetExpired(state, now);
+    const known = current.deaths.find(other => other.id === report.death.id);
+    const death = mergeReport(known, report, now);
+    const withoutDeath = { ...current, deaths: current.deaths.filter(other => other !== known) };
+    if (death.running.some(request => current.quarantined.has(request))) {
+        return { state: withoutDeath, effects: [] };
     }
     if (known === undefined && death.running.length === 0) {
-        return { state: fresh, effects: [] };
+        return { state: current, effects: [] };
     }
-    const suspects = death.running.filter(request => deathsOf(before, request).length >= EARLIER_DEATHS);
-    const [only, ...others] = suspects;
-    const needed = death.complete ? EARLIER_DEATHS : EARLIER_DEATHS_UNHEARD;
-    if (only !== undefined && others.length === 0 && deathsOf(before, only).length >= needed) {
+    const suspects = death.running.filter(request => deathsOf(withoutDeath, request).length >= MIN_EARLIER_DEATHS);
+    const [suspect, ...otherSuspects] = suspects;
+    const minEarlierDeaths = death.complete ? MIN_EARLIER_DEATHS : MIN_EARLIER_DEATHS_INCOMPLETE;
+    if (
+        suspect !== undefined && otherSuspects.length === 0 &&
+        deathsOf(withoutDeath, suspect).length >= minEarlierDeaths
+    ) {
         const until = now + SUSPECT_LIMITS.quarantineMs;
         return {
-            state: quarantine(before, only, until),
-            effects: [{ kind: "quarantine", request: only, until }],
+            state: quarantine(withoutDeath, suspect, until),
+            effects: [{ kind: "quarantine", request: suspect, until }],
         };
     }
     const deaths = known === undefined
-        ? [...fresh.deaths, death].slice(-SUSPECT_LIMITS.deaths)
-        : fresh.deaths.map(other => other === known ? death : other);
-    return { state: { ...fresh, deaths }, effects: [] };
+        ? [...current.deaths, death].slice(-SUSPECT_LIMITS.maxDeaths)
+        : current.deaths.map(other => other === known ? death : other);
+    return { state: { ...current, deaths }, effects: [] };
 }
--- a/packages/request/src/planAfterFailure.ts
+++ b/packages/request/src/planAfterFailure.ts
@@ -8,14 +8,14 @@
 import { spendRetry } from "./spendRetry.js";
 import type { TryFailure } from "./TryFailure.js";
 
-/** What bounds one request's tries. */
+/** Limits of the tries of one request. */
 type RetryLimits = { readonly maxTries: number; };
 
-const CERTAINTY: Readonly<Record<Ran, number>> = { no: 0, maybe: 1, yes: 2 };
+const RAN_ORDER: Readonly<Record<Ran, number>> = { no: 0, maybe: 1, yes: 2 };
 
-const either = (a: Ran, b: Ran): Ran => (CERTAINTY[a] >= CERTAINTY[b] ? a : b);
+const maxRan = (a: Ran, b: Ran): Ran => (RAN_ORDER[a] >= RAN_ORDER[b] ? a : b);
 
-const ranIn = (failure: TryFailure): Ran => {
+const ranOf = (failure: TryFailure): Ran => {
     switch (failure.kind) {
         case "unreached":
         case "refused":
@@ -32,7 +32,7 @@
     }
 };
 
-const kindOf = (request: RequestState, failure: TryFailure): ErrorKind => {
+const errorKindOf = (request: RequestState, failure: TryFailure): ErrorKind => {
     if (failure.kind === "stopped") {
         return failure.refusal.kind;
     }
@@ -59,23 +59,23 @@
 };
 
 const refusalFor = (request: RequestState, failure: TryFailure): Refusal => {
-    const kind = kindOf(request, failure);
+    const kind = errorKindOf(request, failure);
     const base = "refusal" in failure && failure.refusal.kind === kind ? failure.refusal : refusalOf(kind);
     return { ...base, ran: request.next > 0 ? "yes" : request.ran };
 };
 
 /**
- * Decides, after a try has failed, whether the caller is answered now or another endpoint is tried.
+ * Decides, after a try has failed, whether the caller is answered now or the request is retried.
  *
- * Failures guarded against: a request that may not be repeated runs twice (it is tried again only while no try can have
- * run); a caller is told "not run" about a request of which an earlier try ran (`ran` never goes back); retries multiply
- * the load on what is left of a fleet (budget); a request that nobody will serve any more is held (it is answered as soon
- * as a further try is ruled out).
+ * - A request that may not be repeated must not run twice: it is retried only while no try can have run.
+ * - A caller must not receive "not run" for a request of which an earlier try ran: `ran` never decreases.
+ * - Retries must not multiply the load on the remaining endpoints: each one takes a token from the budget.
+ * - A request that no endpoint will serve must not be kept waiting: it is answered as soon as a retry is ruled out.
  *
- * @param before the request as it stood when the try began
+ * @param before state of the request when the try began
  * @param failure how the try ended
- * @param budget tries that this daemon may still make beyond first ones
- * @param limits tries of this request at most, where a route has a limit of its own
+ * @param budget remaining retries, shared with other requests
+ * @param limits limits of the request's route, if it has its own
  */
 export function planAfterFailure(
     before: RequestState,
@@ -84,11 +84,11 @@
     now: Millis,
     limits: RetryLimits = { maxTries: MAX_TRIES },
 ): RetryPlan {
-    const request: RequestState = { ...before, ran: either(before.ran, ranIn(failure)) };
+    const request: RequestState = { ...before, ran: maxRan(before.ran, ranOf(failure)) };
     const refusal = refusalFor(request, failure);
     if (failure.kind === "stopped" || failure.kind === "unplaced" || !answerOf(refusal.kind).retried) {
-        const final = failure.kind === "stopped" || failure.kind === "unplaced";
-        return { kind: "answer", refusal, reason: final ? "final" : "not-repeatable" };
+        const isFinal = failure.kind === "stopped" || failure.kind === "unplaced";
+        return { kind: "answer", refusal, reason: isFinal ? "final" : "not-repeatable" };
     }
     if (!request.repeatable && request.ran !== "no") {
         return { kind: "answer", refusal, reason: "not-repeatable" };
@@ -97,11 +97,11 @@
         return { kind: "answer", refusal, reason: "tries" };
     }
     if (request.next === 0 && now >= request.deadline) {
-        const late = request.ran === "no" ? refusalOf("deadline-exceeded") : refusal;
-        return { kind: "answer", refusal: late, reason: "deadline" };
+        const lateRefusal = request.ran === "no" ? refusalOf("deadline-exceeded") : refusal;
+        return { kind: "answer", refusal: lateRefusal, reason: "deadline" };
     }
-    const left = spendRetry(budget);
-    return left === undefined
+    const remaining = spendRetry(budget);
+    return remaining === undefined
         ? { kind: "answer", refusal, reason: "budget" }
-        : { kind: "retry", from: request.next, request, budget: left };
+        : { kind: "retry", from: request.next, request, budget: remaining };
 }
--- a/packages/request/src/probeUntilClear.ts
+++ b/packages/request/src/probeUntilClear.ts
@@ -4,20 +4,24 @@
 import type { ProbePace } from "./ProbePace.js";
 
 /**
- * Asks whether a process has died until the answer is clear. One that is still unclear at the end counts as alive.
+ * Probes a process repeatedly until the result is clear. A process whose result is still unclear at the end counts as
+ * alive.
  *
- * Failure: the process is just dying, or the asker is too busy to hear it answer; it would pass for alive, and the request
- * that crashed it goes on to the next one. Guard: a connection that is broken off or not answered says nothing yet.
+ * If the process is just dying, or this one is too busy to receive its answer, a single probe could find it alive, and
+ * the request that crashed it would be sent to the next endpoint. To prevent this, a connection that breaks off or is not
+ * answered counts as unclear and is probed again.
+ *
+ * @returns whether the process has died
  */
 export async function probeUntilClear(probe: () => Promise<Probe>, { againMs, allMs }: ProbePace): Promise<boolean> {
     const until = performance.now() + allMs;
-    const ask = async (): Promise<boolean> => {
-        const found = await probe();
-        if (found !== "unclear" || performance.now() >= until) {
-            return found === "dead";
+    const poll = async (): Promise<boolean> => {
+        const result = await probe();
+        if (result !== "unclear" || performance.now() >= until) {
+            return result === "dead";
         }
         await sleep(againMs);
-        return ask();
+        return poll();
     };
-    return ask();
+    return poll();
 }
--- a/packages/request/src/quarantine.ts
+++ b/packages/request/src/quarantine.ts
@@ -5,19 +5,19 @@
 import type { SuspectState } from "./SuspectState.js";
 
 /**
- * Marks a request as one that crashes endpoints, found here or told by another VM. The deaths that it was present at are
- * explained by it, so that the others present at them are suspects no longer.
+ * Quarantines a request that crashes endpoints, found by this VM or received from another. The deaths it was running at
+ * are thereby explained, so the other requests that were running at them are no longer suspects because of these.
  */
 export function quarantine(state: SuspectState, request: RequestFingerprint, until: Millis): SuspectState {
-    const known = state.quarantined.get(request) ?? until;
+    const knownUntil = state.quarantined.get(request) ?? until;
     const entries = [
         ...[...state.quarantined].filter(([other]) => other !== request),
-        [request, Math.max(known, until)] as const,
+        [request, Math.max(knownUntil, until)] as const,
     ];
-    const kept = entries.sort((a, b) => b[1] - a[1]).slice(0, SUSPECT_LIMITS.quarantined);
+    const latest = entries.sort((a, b) => b[1] - a[1]).slice(0, SUSPECT_LIMITS.maxQuarantined);
     return {
         ...state,
         deaths: state.deaths.filter(death => !death.running.includes(request)),
-        quarantined: new Map(kept),
+        quarantined: new Map(latest),
     };
 }
--- a/packages/request/src/quarantinedUntil.ts
+++ b/packages/request/src/quarantinedUntil.ts
@@ -3,7 +3,7 @@
 import type { RequestFingerprint } from "./RequestFingerprint.js";
 import type { SuspectState } from "./SuspectState.js";
 
-/** Until when a request is quarantined; undefined when it may run. */
+/** Returns the time until which a request is quarantined, or `undefined` if it is not. */
 export function quarantinedUntil(
     state: SuspectState,
     request: RequestFingerprint,
--- a/packages/request/src/settleBreak.ts
+++ b/packages/request/src/settleBreak.ts
@@ -1,9 +1,9 @@
 import type { SuspectState } from "./SuspectState.js";
 
-/** Forgets the tries that broke off with a possible death, as it has been judged. */
-export function settleBreak(state: SuspectState, death: string): SuspectState {
+/** Removes a possible death from all tries that broke off with it, once it has been checked. */
+export function settleBreak(state: SuspectState, deathId: string): SuspectState {
     const unjudged = [...state.unjudged]
-        .map(([request, ids]) => [request, ids.filter(id => id !== death)] as const)
-        .filter(([, ids]) => ids.length > 0);
+        .map(([request, deathIds]) => [request, deathIds.filter(id => id !== deathId)] as const)
+        .filter(([, deathIds]) => deathIds.length > 0);
     return { ...state, unjudged: new Map(unjudged) };
 }
--- a/packages/request/src/suspectedDeaths.ts
+++ b/packages/request/src/suspectedDeaths.ts
@@ -1,7 +1,7 @@
 import type { SuspectedDeath } from "./SuspectedDeath.js";
 import type { SuspectState } from "./SuspectState.js";
 
-/** The deaths that some request is still suspected of. */
+/** Returns the unexplained deaths that still have a suspect. */
 export function suspectedDeaths(state: SuspectState): readonly SuspectedDeath[] {
     return state.deaths.filter(({ running }) => running.length > 0);
 }
