--- a/packages/intent/src/INTENT_LIMITS.ts
+++ b/packages/intent/src/INTENT_LIMITS.ts
@@ -1,23 +1,23 @@
 const SECOND_MS = 1_000;
 const MINUTE_MS = 60 * SECOND_MS;
 
-/** Times and sizes of intents; part of what callers are promised, so the same on all VMs. */
+/** Times and sizes of intents. Part of what callers are guaranteed, so they are the same on all VMs. */
 const INTENT_LIMITS = {
-    /** Streams that intents are spread over, by key. */
+    /** Number of log streams that intents are distributed over, by key. */
     partitions: 16,
-    /** How long a key is remembered, by the log's clock. */
+    /** How long a key is remembered, by the log's timestamps. */
     windowMs: 60 * MINUTE_MS,
-    /** Time between an intent's append and its dispatch, after which it is withdrawn instead. Far below the window. */
+    /** Maximum time from an intent's append to its dispatch; afterwards it may not begin. Far below the window. */
     beginMs: 30 * SECOND_MS,
-    /** Age after which a request that was begun cannot be running any more. */
+    /** Age of an intent after which its request cannot be running any more. */
     runningMs: 2 * MINUTE_MS,
-    /** The same where the VM is not on the list, which lags: a VM that has just come is not on it either. */
+    /** The same if its VM is not a listed member. Not 0, because the list lags and lacks a VM that has just started. */
     unlistedMs: 15 * SECOND_MS,
-    /** Interval between snapshots of a partition. The log has to keep records for several of these. */
+    /** Interval between snapshots of a partition. The log must retain records for several intervals. */
     snapshotMs: 5 * MINUTE_MS,
-    /** Entries in one snapshot record. */
+    /** Maximum entries in one snapshot record. */
     snapshotEntries: 400,
-    /** Answers with a longer body, in base64 digits, are not kept. */
+    /** Maximum length of an answer's body, in base64 digits; longer answers are not stored. */
     answerBytes: 32_768,
 } as const;
 
--- a/packages/intent/src/IntentEntry.ts
+++ b/packages/intent/src/IntentEntry.ts
@@ -4,16 +4,16 @@
 import { IntentOutcome } from "./IntentOutcome.js";
 import { KeyDigest } from "./KeyDigest.js";
 
-/** The intent that owns a key: only the process that wrote it may dispatch the request. */
+/** The intent that owns a key. Only the process that wrote it may dispatch the request. */
 const IntentEntry = z.object({
     intentId: RecordId,
     organisation: OrganisationId,
     key: KeyDigest,
-    /** Digest of method, path and body, to tell another request that uses the same key. */
+    /** Digest of method, path and body, to detect a different request that uses the same key. */
     fingerprint: z.string(),
     vm: VmId,
     incarnation: Incarnation,
-    /** The log's time of the intent in milliseconds since the epoch. */
+    /** The log's timestamp of the intent, in milliseconds since the epoch. */
     at: z.number(),
     outcome: IntentOutcome.optional(),
 });
--- a/packages/intent/src/IntentOutcome.ts
+++ b/packages/intent/src/IntentOutcome.ts
@@ -7,8 +7,8 @@
 });
 
 /**
- * How a request ended. `answered`: it ran, with this answer. `unkept`: it ran, and its answer was too large to keep.
- * `unknown`: it may have run.
+ * How a request ended. `answered`: it ran and returned this answer. `unkept`: it ran, but its answer was too large to
+ * store. `unknown`: it may have run.
  */
 const IntentOutcome = z.discriminatedUnion("kind", [
     z.object({ kind: z.literal("answered"), answer: Answer }),
--- a/packages/intent/src/IntentRecord.ts
+++ b/packages/intent/src/IntentRecord.ts
@@ -7,10 +7,10 @@
 
 const Intent = IntentEntry.omit({ intentId: true, at: true, outcome: true }).extend({ type: z.literal("intent") });
 
-/** Written by the owner alone, and only when no byte of the request has gone out. */
+/** Written only by the owner, and only if no byte of the request has been sent. */
 const Withdrawn = z.object({ type: z.literal("withdrawn"), intentId: RecordId, key: KeyDigest });
 
-/** Written by the owner alone. */
+/** Written only by the owner. */
 const Outcome = z.object({
     type: z.literal("outcome"),
     intentId: RecordId,
@@ -18,20 +18,20 @@
     outcome: IntentOutcome,
 });
 
-/** One part of what a VM knew of a partition. */
+/** One part of a snapshot of a partition, as known to the VM that wrote it. */
 const Snapshot = z.object({
     type: z.literal("snapshot"),
     snapshotId: RecordId,
     part: z.number().int(),
     parts: z.number().int(),
-    /** Offset of the first record that it does not hold. */
+    /** Offset of the first record that is not included. */
     upTo: z.number().int(),
-    /** The log's time from which on every record is known to its writer. */
+    /** The log's timestamp from which on all records were known to the writer. */
     vouchedFrom: z.number(),
     entries: z.array(IntentEntry),
 });
 
-/** A record of an intent partition. An intent's id is the id of its log record. */
+/** A record of an intent partition. The id of an intent is the id of its log record. */
 const IntentRecord = z.discriminatedUnion("type", [Intent, Withdrawn, Outcome, Snapshot]);
 type IntentRecord = z.infer<typeof IntentRecord>;
 
--- a/packages/intent/src/IntentStanding.ts
+++ b/packages/intent/src/IntentStanding.ts
@@ -2,14 +2,14 @@
 import type { IntentOutcome } from "./IntentOutcome.js";
 
 /**
- * How a request stands towards its key.
+ * Status of an idempotency key for a request that uses it.
  *
- * - `free`: no intent holds the key.
- * - `owner`: the request's own intent holds it.
- * - `taken`: another intent holds it, and only its writer knows more.
- * - `ended`: the request has had this outcome.
- * - `reused`: the key holds another request.
- * - `window-lost`: the log cannot tell whether the key was used within the window.
+ * - `free`: no intent owns the key.
+ * - `owner`: the request's own intent owns it.
+ * - `taken`: another intent owns it, and only the process that wrote that intent knows how its request proceeds.
+ * - `ended`: the request has ended with this outcome.
+ * - `reused`: the key belongs to a different request.
+ * - `window-lost`: the log does not show whether the key was used within the window.
  */
 export type IntentStanding =
     | { readonly kind: "free" | "owner" | "reused" | "window-lost"; }
--- a/packages/intent/src/KeyDigest.ts
+++ b/packages/intent/src/KeyDigest.ts
@@ -1,6 +1,6 @@
 import { z } from "zod";
 
-/** Digest of an idempotency key within its organisation. */
+/** Digest of an organisation and one of its idempotency keys. */
 const KeyDigest = z.string().regex(/^[0-9a-f]{64}$/).brand<"KeyDigest">();
 type KeyDigest = z.infer<typeof KeyDigest>;
 
--- a/packages/intent/src/LoggedIntent.ts
+++ b/packages/intent/src/LoggedIntent.ts
@@ -2,12 +2,12 @@
 
 import type { IntentRecord } from "./IntentRecord.js";
 
-/** A record of an intent partition as the log gives it back. */
+/** A record of an intent partition as read from the log. */
 export type LoggedIntent = {
     readonly offset: number;
     readonly id: RecordId;
-    /** The log's time in milliseconds since the epoch. */
+    /** The log's timestamp, in milliseconds since the epoch. */
     readonly at: number;
-    /** Undefined for a record of a kind that this version does not know. */
+    /** `undefined` if this version does not know the kind of record. */
     readonly record: IntentRecord | undefined;
 };
--- a/packages/intent/src/OwnerReply.ts
+++ b/packages/intent/src/OwnerReply.ts
@@ -2,11 +2,11 @@
 
 import type { IntentOutcome } from "./IntentOutcome.js";
 
-/** What a VM says of an intent that was written there. */
+/** Reply of a VM to the question how an intent written there has proceeded. */
 export type OwnerReply = {
-    /** The run of the daemon that answers. */
+    /** The incarnation of the daemon that replies. */
     readonly incarnation: Incarnation;
-    /** `absent`: this run knows nothing of it. */
+    /** `absent`: this incarnation does not know the intent. */
     readonly phase: "running" | "withdrawn" | "ended" | "absent";
     readonly outcome: IntentOutcome | undefined;
 };
--- a/packages/intent/src/TakenKeyDecision.ts
+++ b/packages/intent/src/TakenKeyDecision.ts
@@ -1,6 +1,9 @@
 import type { IntentOutcome } from "./IntentOutcome.js";
 
-/** What a request is told whose key another intent holds. `retry`: the key becomes free; read the log and look again. */
-export type TakenVerdict =
+/**
+ * How to answer a request whose key another intent owns. `running`: that intent's request is still running. `retry`: the
+ * key is about to become free; read the log and check again. `ended`: answer with the outcome.
+ */
+export type TakenKeyDecision =
     | { readonly kind: "running" | "retry"; }
     | { readonly kind: "ended"; readonly outcome: IntentOutcome; };
--- a/packages/intent/src/__tests__/unit/intents.test.ts
+++ b/packages/intent/src/__tests__/unit/intents.test.ts
@@ -25,11 +25,11 @@
 const WINDOW = 100;
 const ORGANISATION = OrganisationId.parse("alb");
 const KEY = digestKey(ORGANISATION, "booking-1");
-const RUN = Incarnation.parse("run-1");
+const INCARNATION = Incarnation.parse("run-1");
 const ANSWERED: IntentOutcome = { kind: "answered", answer: { status: 200, body: "" } };
 
 const id = (text: string): RecordId => RecordId.parse(text);
-const intent = (vm: string, fingerprint = "card hold", incarnation = RUN): IntentRecord => ({
+const intent = (vm: string, fingerprint = "card hold", incarnation = INCARNATION): IntentRecord => ({
     type: "intent",
     organisation: ORGANISATION,
     key: KEY,
@@ -47,110 +47,115 @@
 const logOf = (records: readonly (readonly [string, IntentRecord, number?])[], start = 0): LoggedIntent[] =>
     records.map(([name, record, at = 0], index) => ({ offset: start + index, id: id(name), at, record }));
 
-const standing = (partition: IntentPartition, intentId?: string, fingerprint = "card hold"): string =>
+const statusOf = (partition: IntentPartition, intentId?: string, fingerprint = "card hold"): string =>
     standingOf(
         partition,
         { key: KEY, fingerprint, intentId: intentId === undefined ? undefined : id(intentId) },
         WINDOW,
     ).kind;
 
-// A call that may not be repeated is sent to two daemons at once, and both run it.
+// Guards against two daemons that receive the same non-repeatable request at once and both run it.
 [
-    { name: "no intent", log: logOf([]), asks: undefined, is: "free" },
-    { name: "the first intent owns", log: logOf([["a", intent("vm1")], ["b", intent("vm2")]]), asks: "a", is: "owner" },
+    { name: "no intent", log: logOf([]), intentId: undefined, expected: "free" },
     {
-        name: "the second does not",
+        name: "the first intent owns the key",
         log: logOf([["a", intent("vm1")], ["b", intent("vm2")]]),
-        asks: "b",
-        is: "taken",
+        intentId: "a",
+        expected: "owner",
     },
     {
-        name: "a withdrawal frees the key for later intents only",
+        name: "the second intent does not own the key",
+        log: logOf([["a", intent("vm1")], ["b", intent("vm2")]]),
+        intentId: "b",
+        expected: "taken",
+    },
+    {
+        name: "a withdrawal frees the key only for later intents",
         log: logOf([["a", intent("vm1")], ["b", intent("vm2")], ["w", withdrawn("a")]]),
-        asks: "b",
-        is: "free",
+        intentId: "b",
+        expected: "free",
     },
     {
-        name: "the first intent after a withdrawal owns",
+        name: "the first intent after a withdrawal owns the key",
         log: logOf([["a", intent("vm1")], ["w", withdrawn("a")], ["c", intent("vm2")]]),
-        asks: "c",
-        is: "owner",
+        intentId: "c",
+        expected: "owner",
     },
     {
-        name: "a withdrawal of an intent that lost changes nothing",
+        name: "a withdrawal of an intent that does not own the key changes nothing",
         log: logOf([["a", intent("vm1")], ["b", intent("vm2")], ["w", withdrawn("b")]]),
-        asks: "b",
-        is: "taken",
+        intentId: "b",
+        expected: "taken",
     },
     {
         name: "an outcome ends the request",
         log: logOf([["a", intent("vm1")], ["o", outcome("a")]]),
-        asks: undefined,
-        is: "ended",
+        intentId: undefined,
+        expected: "ended",
     },
     {
         name: "a withdrawal after an outcome changes nothing",
         log: logOf([["a", intent("vm1")], ["o", outcome("a")], ["w", withdrawn("a")]]),
-        asks: undefined,
-        is: "ended",
+        intentId: undefined,
+        expected: "ended",
     },
     {
-        name: "an outcome of an intent that lost is no outcome",
+        name: "an outcome of an intent that does not own the key is ignored",
         log: logOf([["a", intent("vm1")], ["b", intent("vm2")], ["o", outcome("b")]]),
-        asks: undefined,
-        is: "taken",
+        intentId: undefined,
+        expected: "taken",
     },
     {
-        name: "the key of another request",
+        name: "the key belongs to a different request",
         log: logOf([["a", intent("vm1", "another hold")]]),
-        asks: undefined,
-        is: "reused",
+        intentId: undefined,
+        expected: "reused",
     },
     {
-        name: "the window is over, by the log's clock",
+        name: "the window is over, by the log's timestamps",
         log: logOf([["a", intent("vm1")], ["c", intent("vm2"), WINDOW + 1]]),
-        asks: "c",
-        is: "owner",
+        intentId: "c",
+        expected: "owner",
     },
     {
         name: "the window is not over",
         log: logOf([["a", intent("vm1")], ["c", intent("vm2"), WINDOW]]),
-        asks: "c",
-        is: "taken",
+        intentId: "c",
+        expected: "taken",
     },
     {
-        name: "older records are gone, and nothing vouches for them",
+        name: "older records are dropped, and some may lie within the window",
         log: logOf([["c", intent("vm2"), WINDOW]], 5),
-        asks: "c",
-        is: "window-lost",
+        intentId: "c",
+        expected: "window-lost",
     },
     {
-        name: "older records are gone, and lie before the window",
+        name: "older records are dropped, but lie before the window",
         log: logOf([["x", withdrawn("none"), 1], ["c", intent("vm2"), WINDOW + 1]], 5),
-        asks: "c",
-        is: "owner",
+        intentId: "c",
+        expected: "owner",
     },
-].forEach(({ name, log, asks, is }) =>
+].forEach(({ name, log, intentId, expected }) =>
     test(`intent: ${name}`, t => {
-        t.is(standing(loadPartition(log[0]?.offset ?? 0, log, WINDOW), asks), is);
+        t.is(statusOf(loadPartition(log[0]?.offset ?? 0, log, WINDOW), intentId), expected);
     })
 );
 
-// A call is repeated after the log has dropped the record of it, and runs again.
-test("intent: a snapshot carries an outcome past the log's retention", t => {
+// If the log has dropped the record of a request, the same request sent again would run a second time.
+test("intent: a snapshot preserves an outcome beyond the log's retention", t => {
     const known = loadPartition(0, logOf([["a", intent("vm1"), 1], ["o", outcome("a"), 2]]), WINDOW);
     const parts = snapshotRecords(known, id("s1")).map((record, index) => ["s1-" + index, record, 3] as const);
-    const kept = logOf([...parts, ["c", intent("vm2"), 50]], 2);
-    t.is(standing(loadPartition(2, kept, WINDOW)), "ended");
+    const retained = logOf([...parts, ["c", intent("vm2"), 50]], 2);
+    t.is(statusOf(loadPartition(2, retained, WINDOW)), "ended");
     t.is(
-        standing(loadPartition(2, kept.slice(1), WINDOW)),
+        statusOf(loadPartition(2, retained.slice(1), WINDOW)),
         "taken",
-        "without the snapshot the later intent seems to own",
+        "without the snapshot, the later intent seems to own the key",
     );
-    t.is(standing(loadPartition(2, kept.slice(1), WINDOW), "c"), "window-lost", "but it may not run");
+    t.is(statusOf(loadPartition(2, retained.slice(1), WINDOW), "c"), "window-lost", "but its request may not run");
 });
 
-test("intent: a snapshot that records were lost after, or with a part missing, is not used", t => {
+test("intent: a snapshot is not used if a part of it, or a record after it, is missing", t => {
     const many = Array.from({ length: INTENT_LIMITS.snapshotEntries + 1 }, (_, index) => {
         const key = digestKey(ORGANISATION, String(index));
         return [`i${index}`, { ...intent("vm1"), key } as IntentRecord, 1] as const;
@@ -163,7 +168,7 @@
     t.is(loadPartition(many.length + 1, logged, WINDOW).entries.size, 0);
 });
 
-test("intent: keys are spread over the partitions, and organisations' keys differ", t => {
+test("intent: keys are distributed over all partitions, and equal keys of two organisations differ", t => {
     const used = new Set(
         Array.from({ length: 400 }, (_, index) => partitionOf(digestKey(ORGANISATION, String(index)))),
     );
@@ -175,87 +180,87 @@
 
 [
     { name: "an open intent begins", own: OWN, now: 1, may: true },
-    { name: "after a long pause it does not", own: OWN, now: INTENT_LIMITS.beginMs, may: false },
-    { name: "once withdrawn it does not", own: withdrawIntent(OWN) ?? OWN, now: 1, may: false },
-    { name: "it does not begin twice", own: beginIntent(OWN, 1) ?? OWN, now: 1, may: false },
+    { name: "an open intent does not begin after a long suspension", own: OWN, now: INTENT_LIMITS.beginMs, may: false },
+    { name: "a withdrawn intent does not begin", own: withdrawIntent(OWN) ?? OWN, now: 1, may: false },
+    { name: "an intent does not begin twice", own: beginIntent(OWN, 1) ?? OWN, now: 1, may: false },
 ].forEach(({ name, own, now, may }) =>
     test(`intent: ${name}`, t => {
         t.is(beginIntent(own, now) !== undefined, may);
     })
 );
 
-test("intent: a try that surely did not run takes the begin back", t => {
+test("intent: a try that certainly did not run reopens the intent", t => {
     const reopened = reopenIntent(beginIntent(OWN, 1) ?? OWN) ?? OWN;
     t.is(reopened.phase, "open");
-    t.is(beginIntent(reopened, INTENT_LIMITS.beginMs), undefined, "the bound still counts from the append");
+    t.is(beginIntent(reopened, INTENT_LIMITS.beginMs), undefined, "the time limit is still measured from the append");
     t.is(reopenIntent({ ...OWN, phase: "withdrawn" }), undefined);
 });
 
-test("intent: what has begun is not withdrawn", t => {
+test("intent: an intent that has begun cannot be withdrawn", t => {
     t.is(withdrawIntent(beginIntent(OWN, 1) ?? OWN), undefined);
 });
 
 const ENTRY = [...loadPartition(0, logOf([["a", intent("vm1")]]), WINDOW).entries.values()][0]!;
-const reply = (phase: OwnerReply["phase"], ended?: IntentOutcome, run = RUN): OwnerReply => ({
-    incarnation: run,
+const reply = (phase: OwnerReply["phase"], ended?: IntentOutcome, owner = INCARNATION): OwnerReply => ({
+    incarnation: owner,
     phase,
     outcome: ended,
 });
 
 [
-    { name: "it runs", reply: reply("running"), listed: true, lastAt: 0, is: "running" },
-    { name: "it was withdrawn", reply: reply("withdrawn"), listed: true, lastAt: 0, is: "retry" },
-    { name: "it ended", reply: reply("ended", ANSWERED), listed: true, lastAt: 0, is: "answered" },
-    { name: "it ended without an answer", reply: reply("ended"), listed: true, lastAt: 0, is: "unknown" },
+    { name: "it is running", reply: reply("running"), listed: true, lastAt: 0, expected: "running" },
+    { name: "it was withdrawn", reply: reply("withdrawn"), listed: true, lastAt: 0, expected: "retry" },
+    { name: "it ended", reply: reply("ended", ANSWERED), listed: true, lastAt: 0, expected: "answered" },
+    { name: "it ended without an answer", reply: reply("ended"), listed: true, lastAt: 0, expected: "unknown" },
     {
         name: "the owner has been restarted",
         reply: reply("absent", undefined, Incarnation.parse("run-2")),
         listed: true,
         lastAt: 0,
-        is: "unknown",
+        expected: "unknown",
     },
     {
-        name: "a restarted owner is not believed",
+        name: "a reply of a restarted owner is not trusted",
         reply: reply("withdrawn", undefined, Incarnation.parse("run-2")),
         listed: true,
         lastAt: 0,
-        is: "unknown",
+        expected: "unknown",
     },
-    { name: "the owner can't be reached", reply: undefined, listed: true, lastAt: 0, is: "running" },
-    { name: "the owner's VM is not listed yet", reply: undefined, listed: false, lastAt: 0, is: "running" },
+    { name: "the owner cannot be reached", reply: undefined, listed: true, lastAt: 0, expected: "running" },
+    { name: "the owner's VM is not listed yet", reply: undefined, listed: false, lastAt: 0, expected: "running" },
     {
         name: "the owner's VM is gone",
         reply: undefined,
         listed: false,
         lastAt: INTENT_LIMITS.unlistedMs + 1,
-        is: "unknown",
+        expected: "unknown",
     },
     {
-        name: "the owner can't be reached for long",
+        name: "the owner has been unreachable for long",
         reply: undefined,
         listed: true,
         lastAt: INTENT_LIMITS.runningMs + 1,
-        is: "unknown",
+        expected: "unknown",
     },
-].forEach(({ name, reply: said, listed, lastAt, is }) =>
-    test(`intent: another's, ${name}`, t => {
-        const verdict = verdictOfTaken(ENTRY, said, listed, lastAt);
-        const found: string = verdict.kind === "ended" ? verdict.outcome.kind : verdict.kind;
-        t.is(found, is);
+].forEach(({ name, reply: received, listed, lastAt, expected }) =>
+    test(`intent: key owned by another intent, ${name}`, t => {
+        const decision = verdictOfTaken(ENTRY, received, listed, lastAt);
+        const found: string = decision.kind === "ended" ? decision.outcome.kind : decision.kind;
+        t.is(found, expected);
     })
 );
 
-type Daemon = { own: OwnIntent | undefined; readBack: boolean; partition: IntentPartition; };
+type Daemon = { own: OwnIntent | undefined; isReadBack: boolean; partition: IntentPartition; };
 
 const operation = fc.record({
     daemon: fc.integer({ min: 0, max: 2 }),
     act: fc.constantFrom("append", "read", "begin", "withdraw", "record-withdrawal", "restart", "expire", "snapshot"),
 });
 
-test("intent: whatever three daemons do, with restarts, pauses and dropped records, a key runs at most once", t => {
-    const runs = (operations: readonly { daemon: number; act: string; }[]): number => {
-        const fresh = (): Daemon => ({ own: undefined, readBack: false, partition: emptyPartition(0) });
-        const daemons: Daemon[] = [fresh(), fresh(), fresh()];
+test("intent: with restarts, suspensions and dropped records, three daemons run the request of a key at most once", t => {
+    const countRuns = (operations: readonly { daemon: number; act: string; }[]): number => {
+        const newDaemon = (): Daemon => ({ own: undefined, isReadBack: false, partition: emptyPartition(0) });
+        const daemons: Daemon[] = [newDaemon(), newDaemon(), newDaemon()];
         let log: LoggedIntent[] = [];
         let [start, end, dispatched] = [0, 0, 0];
         const write = (name: string, record: IntentRecord): void => {
@@ -263,42 +268,43 @@
             end += 1;
         };
         operations.forEach(({ daemon, act }, index) => {
-            const it = daemons[daemon]!;
-            const { own } = it;
+            const state = daemons[daemon]!;
+            const { own } = state;
             if (act === "append" && own === undefined) {
-                it.own = { ...OWN, intentId: id(`i${index}`) };
+                state.own = { ...OWN, intentId: id(`i${index}`) };
                 write(`i${index}`, intent(`vm${daemon}`, "card hold", Incarnation.parse(`run-${index}`)));
             }
             if (act === "read") {
-                it.partition = it.partition.next < start
+                state.partition = state.partition.next < start
                     ? loadPartition(start, log, WINDOW)
-                    : foldIntents(it.partition, log, WINDOW);
-                it.readBack = own !== undefined;
+                    : foldIntents(state.partition, log, WINDOW);
+                state.isReadBack = own !== undefined;
             }
             if (
-                act === "begin" && own !== undefined && it.readBack && standing(it.partition, own.intentId) === "owner"
+                act === "begin" && own !== undefined && state.isReadBack &&
+                statusOf(state.partition, own.intentId) === "owner"
             ) {
                 const begun = beginIntent(own, 0);
                 dispatched += begun === undefined ? 0 : 1;
-                it.own = begun ?? own;
+                state.own = begun ?? own;
             }
             if (act === "withdraw" && own !== undefined) {
-                it.own = withdrawIntent(own) ?? own;
+                state.own = withdrawIntent(own) ?? own;
             }
             if (act === "record-withdrawal" && own?.phase === "withdrawn") {
                 write(`w${index}`, withdrawn(own.intentId));
-                it.own = undefined;
-                it.readBack = false;
+                state.own = undefined;
+                state.isReadBack = false;
             }
             if (act === "restart") {
-                daemons[daemon] = { ...fresh(), partition: loadPartition(start, log, WINDOW) };
+                daemons[daemon] = { ...newDaemon(), partition: loadPartition(start, log, WINDOW) };
             }
             if (act === "expire" && log.length > 0) {
                 log = log.slice(1);
                 start += 1;
             }
-            if (act === "snapshot" && it.partition.next >= start) {
-                snapshotRecords(it.partition, id(`s${index}`)).forEach(record => write(`s${index}`, record));
+            if (act === "snapshot" && state.partition.next >= start) {
+                snapshotRecords(state.partition, id(`s${index}`)).forEach(record => write(`s${index}`, record));
             }
         });
         return dispatched;
@@ -306,7 +312,7 @@
     fc.assert(
         fc.property(
             fc.array(operation, { minLength: 20, maxLength: 60, size: "max" }),
-            operations => runs(operations) <= 1,
+            operations => countRuns(operations) <= 1,
         ),
         { seed: SEED, numRuns: 10_000 },
     );
--- a/packages/intent/src/digestKey.ts
+++ b/packages/intent/src/digestKey.ts
@@ -4,7 +4,10 @@
 
 import { KeyDigest } from "./KeyDigest.js";
 
-/** Digests an idempotency key, so that two organisations' equal keys differ and the log shows neither. */
+/**
+ * Computes the digest of an idempotency key. Equal keys of different organisations have different digests, and the log
+ * does not contain the key itself.
+ */
 export function digestKey(organisation: OrganisationId, idempotencyKey: string): KeyDigest {
     return KeyDigest.parse(createHash("sha256").update(organisation).update("\0").update(idempotencyKey).digest("hex"));
 }
--- a/packages/intent/src/emptyPartition.ts
+++ b/packages/intent/src/emptyPartition.ts
@@ -1,18 +1,18 @@
 import type { IntentPartition } from "./IntentPartition.js";
 
-/** Later than any record; the first record that is folded takes its place. */
-const NOTHING_VOUCHED = Number.MAX_SAFE_INTEGER;
+/** Later than any timestamp; replaced by that of the first record folded. */
+const NEVER_COMPLETE = Number.MAX_SAFE_INTEGER;
 
 /**
- * A partition of which nothing has been read.
+ * Creates the state of a partition of which no record has been read.
  *
- * @param start oldest offset that the log keeps; where that is 0, nothing has been lost
+ * @param start oldest offset that the log retains; 0 if no record has been dropped
  */
 export function emptyPartition(start: number): IntentPartition {
     return {
         next: start,
         lastAt: 0,
-        vouchedFrom: start === 0 ? 0 : NOTHING_VOUCHED,
+        completeFrom: start === 0 ? 0 : NEVER_COMPLETE,
         entries: new Map(),
     };
 }
--- a/packages/intent/src/foldIntents.ts
+++ b/packages/intent/src/foldIntents.ts
@@ -7,7 +7,7 @@
 
 const isExpired = (entry: IntentEntry, now: number, windowMs: number): boolean => entry.at < now - windowMs;
 
-const foldOne = (entries: Entries, logged: LoggedIntent, windowMs: number): void => {
+const applyRecord = (entries: Entries, logged: LoggedIntent, windowMs: number): void => {
     const { record, id, at } = logged;
     if (record === undefined || record.type === "snapshot") {
         return;
@@ -37,12 +37,12 @@
 };
 
 /**
- * Folds records that follow on what is known. All VMs fold the same records in the same order, so all agree on the owner
- * of a key: the first intent since the key was last free.
+ * Folds further records into the state of a partition; records before its next offset are skipped. All VMs fold the same
+ * records in the same order, so they agree on the owner of a key: the first intent since the key was last free.
  *
- * Failure guarded against: two VMs get the same request at once and both run it. Only the writer of the first intent
- * may dispatch; another becomes the owner only after the former owner's own record that it has sent nothing, or after
- * the window. Neither a pause nor a cut of the owner frees the key.
+ * If two VMs receive the same request at once, both could run it. To prevent this, only the writer of the first intent
+ * may dispatch. Another intent becomes the owner only after the previous owner has recorded that it sent nothing, or
+ * after the window. Neither a suspension of the owner nor a lost connection to it frees the key.
  *
  * @param windowMs how long a key is remembered
  */
@@ -51,19 +51,19 @@
     records: readonly LoggedIntent[],
     windowMs: number,
 ): IntentPartition {
-    const fresh = records.filter(logged => logged.offset >= partition.next);
-    const [first] = fresh;
-    const last = fresh.at(-1);
+    const unread = records.filter(logged => logged.offset >= partition.next);
+    const [first] = unread;
+    const last = unread.at(-1);
     if (first === undefined || last === undefined) {
         return partition;
     }
     const entries = new Map(partition.entries);
-    fresh.forEach(logged => foldOne(entries, logged, windowMs));
-    const live = [...entries].filter(([, entry]) => !isExpired(entry, last.at, windowMs));
+    unread.forEach(logged => applyRecord(entries, logged, windowMs));
+    const unexpired = [...entries].filter(([, entry]) => !isExpired(entry, last.at, windowMs));
     return {
         next: last.offset + 1,
         lastAt: last.at,
-        vouchedFrom: Math.min(partition.vouchedFrom, first.at),
-        entries: new Map(live),
+        completeFrom: Math.min(partition.completeFrom, first.at),
+        entries: new Map(unexpired),
     };
 }
--- a/packages/intent/src/index.ts
+++ b/packages/intent/src/index.ts
@@ -1,4 +1,4 @@
-/** Whether a request that may not be repeated may be dispatched. */
+/** Intent log, which decides whether a request that may not be repeated may be dispatched. */
 export { beginIntent } from "./beginIntent.js";
 export { digestKey } from "./digestKey.js";
 export { emptyPartition } from "./emptyPartition.js";
@@ -18,6 +18,6 @@
 export { reopenIntent } from "./reopenIntent.js";
 export { snapshotRecords } from "./snapshotRecords.js";
 export { standingOf } from "./standingOf.js";
-export type { TakenVerdict } from "./TakenVerdict.js";
+export type { TakenKeyDecision } from "./TakenKeyDecision.js";
 export { verdictOfTaken } from "./verdictOfTaken.js";
 export { withdrawIntent } from "./withdrawIntent.js";
--- a/packages/intent/src/loadPartition.ts
+++ b/packages/intent/src/loadPartition.ts
@@ -11,33 +11,33 @@
 
 const newestSnapshot = (records: readonly LoggedIntent[], start: number): IntentPartition | undefined => {
     const parts = partsOf(records);
-    const isWhole = ({ snapshotId, parts: count }: SnapshotPart): boolean =>
-        new Set(parts.filter(part => part.snapshotId === snapshotId).map(part => part.part)).size === count;
-    const newest = parts
-        .filter(part => part.upTo >= start && isWhole(part))
+    const isComplete = ({ snapshotId, parts: partCount }: SnapshotPart): boolean =>
+        new Set(parts.filter(part => part.snapshotId === snapshotId).map(part => part.part)).size === partCount;
+    const newestPart = parts
+        .filter(part => part.upTo >= start && isComplete(part))
         .sort((a, b) => b.upTo - a.upTo)
         .at(0);
-    if (newest === undefined) {
+    if (newestPart === undefined) {
         return undefined;
     }
-    const entries = parts.filter(part => part.snapshotId === newest.snapshotId).flatMap(part => part.entries);
+    const entries = parts.filter(part => part.snapshotId === newestPart.snapshotId).flatMap(part => part.entries);
     return {
-        next: newest.upTo,
+        next: newestPart.upTo,
         lastAt: 0,
-        vouchedFrom: newest.vouchedFrom,
+        completeFrom: newestPart.vouchedFrom,
         entries: new Map(entries.map(entry => [entry.key, entry])),
     };
 };
 
 /**
- * Builds a partition from all records that the log still keeps.
+ * Builds the state of a partition from all records that the log retains.
  *
- * Failure guarded against: the log has dropped the intent of a key that was used within the window, and the request runs
- * again. Entries older than the log's start come from the newest snapshot whose following records are all still kept; a
- * partition without one vouches only for what it has read itself.
+ * If the log has dropped the intent of a key that was used within the window, the request would run again. To prevent
+ * this, older entries come from the newest complete snapshot of which all following records are retained. Without such a
+ * snapshot, the partition counts as complete only from the first record read.
  *
- * @param start oldest offset that the log keeps
- * @param records all kept records, in order
+ * @param start oldest offset that the log retains
+ * @param records all retained records, in order
  */
 export function loadPartition(start: number, records: readonly LoggedIntent[], windowMs: number): IntentPartition {
     const base = newestSnapshot(records, start) ?? emptyPartition(start);
--- a/packages/intent/src/snapshotRecords.ts
+++ b/packages/intent/src/snapshotRecords.ts
@@ -5,9 +5,9 @@
 import type { IntentRecord } from "./IntentRecord.js";
 
 /**
- * Writes what is known of a partition as records that carry it past the log's retention.
+ * Builds the snapshot records of a partition, which preserve its entries beyond the log's retention.
  *
- * @param snapshotId id that the parts share
+ * @param snapshotId id shared by all parts of the snapshot
  */
 export function snapshotRecords(partition: IntentPartition, snapshotId: RecordId): readonly IntentRecord[] {
     const entries = [...partition.entries.values()];
@@ -19,7 +19,7 @@
         part,
         parts,
         upTo: partition.next,
-        vouchedFrom: partition.vouchedFrom,
+        vouchedFrom: partition.completeFrom,
         entries: entries.slice(part * size, (part + 1) * size),
     }));
 }
--- a/packages/intent/src/standingOf.ts
+++ b/packages/intent/src/standingOf.ts
@@ -4,30 +4,30 @@
 import type { IntentStanding } from "./IntentStanding.js";
 import type { KeyDigest } from "./KeyDigest.js";
 
-/** A request that asks for its key. */
-type KeyQuestion = {
+/** A request whose key is looked up. */
+type KeyQuery = {
     readonly key: KeyDigest;
     readonly fingerprint: string;
-    /** Its own intent, once that has been read back. */
+    /** The request's own intent, once it has been read back from the log. */
     readonly intentId: RecordId | undefined;
 };
 
 /**
- * Decides how a request stands towards its key.
+ * Returns the status of a request's key.
  *
- * @param partition read up to the request's intent at least, where it has one
+ * @param partition must be read at least up to the request's own intent, if it has one
  * @param windowMs how long a key is remembered
  */
-export function standingOf(partition: IntentPartition, question: KeyQuestion, windowMs: number): IntentStanding {
-    const entry = partition.entries.get(question.key);
+export function standingOf(partition: IntentPartition, query: KeyQuery, windowMs: number): IntentStanding {
+    const entry = partition.entries.get(query.key);
     if (entry === undefined) {
         return { kind: "free" };
     }
-    if (entry.intentId === question.intentId) {
-        const isVouched = partition.vouchedFrom <= entry.at - windowMs || partition.vouchedFrom === 0;
-        return { kind: isVouched ? "owner" : "window-lost" };
+    if (entry.intentId === query.intentId) {
+        const isWindowComplete = partition.completeFrom <= entry.at - windowMs || partition.completeFrom === 0;
+        return { kind: isWindowComplete ? "owner" : "window-lost" };
     }
-    if (entry.fingerprint !== question.fingerprint) {
+    if (entry.fingerprint !== query.fingerprint) {
         return { kind: "reused" };
     }
     return entry.outcome === undefined ? { kind: "taken", entry } : { kind: "ended", outcome: entry.outcome };
--- a/packages/intent/src/verdictOfTaken.ts
+++ b/packages/intent/src/verdictOfTaken.ts
@@ -1,28 +1,28 @@
 import { INTENT_LIMITS } from "./INTENT_LIMITS.js";
 import type { IntentEntry } from "./IntentEntry.js";
 import type { OwnerReply } from "./OwnerReply.js";
-import type { TakenVerdict } from "./TakenVerdict.js";
+import type { TakenKeyDecision } from "./TakenKeyDecision.js";
 
-const UNKNOWN: TakenVerdict = { kind: "ended", outcome: { kind: "unknown" } };
+const UNKNOWN: TakenKeyDecision = { kind: "ended", outcome: { kind: "unknown" } };
 
 /**
- * Decides what to tell a request whose key another intent holds. It never lets the request run: only the owner's record
- * of withdrawal does, as an owner that cannot be reached may be about to send.
+ * Decides how to answer a request whose key another intent owns. The request never runs because of this decision: an
+ * owner that cannot be reached may be about to send, so only its own record of withdrawal frees the key.
  *
- * @param entry the intent that holds the key
- * @param reply what its VM says; undefined when it gave no answer
- * @param isListed whether its VM is a member; a VM that has just started is none yet
- * @param lastAt the log's time of the newest record read
+ * @param entry the intent that owns the key
+ * @param reply reply of the owner's VM; `undefined` if there was none
+ * @param isListed whether the owner's VM is a listed member; a VM that has just started is not yet
+ * @param lastAt the log's timestamp of the newest record read
  */
 export function verdictOfTaken(
     entry: IntentEntry,
     reply: OwnerReply | undefined,
     isListed: boolean,
     lastAt: number,
-): TakenVerdict {
+): TakenKeyDecision {
     if (reply === undefined) {
-        const bound = isListed ? INTENT_LIMITS.runningMs : INTENT_LIMITS.unlistedMs;
-        return lastAt - entry.at > bound ? UNKNOWN : { kind: "running" };
+        const maxAgeMs = isListed ? INTENT_LIMITS.runningMs : INTENT_LIMITS.unlistedMs;
+        return lastAt - entry.at > maxAgeMs ? UNKNOWN : { kind: "running" };
     }
     if (reply.incarnation !== entry.incarnation || reply.phase === "absent") {
         return UNKNOWN;
--- a/packages/request/src/__tests__/unit/stream.test.ts
+++ b/packages/request/src/__tests__/unit/stream.test.ts
@@ -35,7 +35,7 @@
         };
     }, { state: start, forwarded: [], effects: [] });
 
-// After a stream is resumed on another engine, late, repeated or missing pieces of the first one must not reach the caller.
+// Guards against late, repeated or missing pieces of the first engine after a stream is resumed on another one.
 [
     {
         name: "pieces in order are forwarded, and the last one completes the answer",
@@ -94,7 +94,7 @@
     })
 );
 
-test("stream: for any sequence of pieces, the caller receives a prefix of the answer, and all of it once complete", t => {
+test("stream: for any pieces, the caller receives a prefix of the answer, and all of it once complete", t => {
     const pieces = fc.array(
         fc.record({ second: fc.boolean(), position: fc.integer({ min: 0, max: LENGTH - 1 }) }),
         { maxLength: 60, size: "max" },
--- a/packages/request/src/__tests__/unit/suspects.test.ts
+++ b/packages/request/src/__tests__/unit/suspects.test.ts
@@ -161,7 +161,7 @@
     t.is(many.quarantined.size, SUSPECT_LIMITS.maxQuarantined);
 });
 
-test("suspects: right after a death its suspects are assigned to different endpoints; later any endpoint is allowed", t => {
+test("suspects: right after a death its suspects are assigned to different endpoints; later any is allowed", t => {
     const endpoints = ["engine-0", "engine-1", "engine-2", "engine-3"].map(name => EndpointName.parse(name));
     const state = stateAfter([{ running: ["killer", "a"] }]);
     const assignedTo = (name: Name, at: number) =>
--- a/packages/request/src/isSpreadTo.ts
+++ b/packages/request/src/isSpreadTo.ts
@@ -9,7 +9,8 @@
 
 /**
  * Returns whether an endpoint is one of those on which a suspect may be retried right after a death. All VMs assign the
- * endpoints to the suspects of a death in the same way, so that suspects of different VMs do not share an endpoint again.
+ * endpoints to the suspects of a death in the same way, so that suspects of different VMs do not share an endpoint
+ * again.
  *
  * @param endpoints all endpoints that can serve the request
  */
--- a/packages/request/src/mayShareEndpoint.ts
+++ b/packages/request/src/mayShareEndpoint.ts
@@ -5,8 +5,8 @@
 /**
  * Returns whether a request may be sent to an endpoint, given the requests already running there.
  *
- * If two suspects shared an endpoint again and it died again, the cause could not be told from the unrelated request. To
- * prevent this, an endpoint runs at most one suspect, so that the next death has only one.
+ * If two suspects shared an endpoint again and it died again, the cause could not be told from the unrelated request.
+ * To prevent this, an endpoint runs at most one suspect, so that the next death has only one.
  */
 export function mayShareEndpoint(
     state: SuspectState,
--- a/packages/request/src/noteDeath.ts
+++ b/packages/request/src/noteDeath.ts
@@ -35,8 +35,8 @@
 /**
  * Records the death of an endpoint, or a further report on a known death.
  *
- * If a request crashes every endpoint that runs it and its caller keeps sending it, one endpoint after the other dies. To
- * prevent this, the second separate death quarantines the request if it is the only one that was running at both. If
+ * If a request crashes every endpoint that runs it and its caller keeps sending it, one endpoint after the other dies.
+ * To prevent this, the second separate death quarantines the request if it is the only one that was running at both. If
  * several requests were running at both by chance, none is quarantined: they stay suspects, are sent to different
  * endpoints, and the next death tells them apart.
  */
--- a/packages/request/src/probeUntilClear.ts
+++ b/packages/request/src/probeUntilClear.ts
@@ -8,8 +8,8 @@
  * alive.
  *
  * If the process is just dying, or this one is too busy to receive its answer, a single probe could find it alive, and
- * the request that crashed it would be sent to the next endpoint. To prevent this, a connection that breaks off or is not
- * answered counts as unclear and is probed again.
+ * the request that crashed it would be sent to the next endpoint. To prevent this, a connection that breaks off or is
+ * not answered counts as unclear and is probed again.
  *
  * @returns whether the process has died
  */
