--- a/packages/intent/src/OwnIntent.ts
+++ b/packages/intent/src/OwnIntent.ts
@@ -4,8 +4,8 @@
 import type { KeyDigest } from "./KeyDigest.js";
 
 /**
- * An intent of this process. `open`: the intent is written, nothing of the request is sent. `begun`: the request may have
- * been sent. `withdrawn`: it never will be. `ended`: its outcome is known.
+ * An intent of this process. `open`: the intent is written, nothing of the request is sent. `begun`: the request may
+ * have been sent. `withdrawn`: it never will be. `ended`: its outcome is known.
  */
 export type OwnIntent = {
     readonly intentId: RecordId;
--- a/packages/intent/src/__tests__/unit/intents.test.ts
+++ b/packages/intent/src/__tests__/unit/intents.test.ts
@@ -257,7 +257,7 @@
     act: fc.constantFrom("append", "read", "begin", "withdraw", "record-withdrawal", "restart", "expire", "snapshot"),
 });
 
-test("intent: with restarts, suspensions and dropped records, three daemons run the request of a key at most once", t => {
+test("intent: despite restarts, suspensions and dropped records, three daemons run a request at most once", t => {
     const countRuns = (operations: readonly { daemon: number; act: string; }[]): number => {
         const newDaemon = (): Daemon => ({ own: undefined, isReadBack: false, partition: emptyPartition(0) });
         const daemons: Daemon[] = [newDaemon(), newDaemon(), newDaemon()];
--- a/packages/intent/src/foldIntents.ts
+++ b/packages/intent/src/foldIntents.ts
@@ -37,8 +37,8 @@
 };
 
 /**
- * Folds further records into the state of a partition; records before its next offset are skipped. All VMs fold the same
- * records in the same order, so they agree on the owner of a key: the first intent since the key was last free.
+ * Folds further records into the state of a partition; records before its next offset are skipped. All VMs fold the
+ * same records in the same order, so they agree on the owner of a key: the first intent since the key was last free.
  *
  * If two VMs receive the same request at once, both could run it. To prevent this, only the writer of the first intent
  * may dispatch. Another intent becomes the owner only after the previous owner has recorded that it sent nothing, or
--- a/packages/intent/src/loadPartition.ts
+++ b/packages/intent/src/loadPartition.ts
@@ -33,8 +33,8 @@
  * Builds the state of a partition from all records that the log retains.
  *
  * If the log has dropped the intent of a key that was used within the window, the request would run again. To prevent
- * this, older entries come from the newest complete snapshot of which all following records are retained. Without such a
- * snapshot, the partition counts as complete only from the first record read.
+ * this, older entries come from the newest complete snapshot of which all following records are retained. Without such
+ * a snapshot, the partition counts as complete only from the first record read.
  *
  * @param start oldest offset that the log retains
  * @param records all retained records, in order
--- a/packages/intent/src/reopenIntent.ts
+++ b/packages/intent/src/reopenIntent.ts
@@ -1,8 +1,8 @@
 import type { OwnIntent } from "./OwnIntent.js";
 
 /**
- * Reopens an intent that has begun, after a try that certainly did not run the request: no byte reached the endpoint, or
- * the endpoint refused the request before running it.
+ * Reopens an intent that has begun, after a try that certainly did not run the request: no byte reached the endpoint,
+ * or the endpoint refused the request before running it.
  *
  * @returns `undefined` if the intent had not begun
  */
