--- a/packages/release/src/Configuration.ts
+++ b/packages/release/src/Configuration.ts
@@ -6,7 +6,7 @@
 import type { OrganisationSpec } from "./OrganisationSpec.js";
 import type { ServiceSpec } from "./ServiceSpec.js";
 
-/** The whole configuration in force at a revision. Immutable: the fold makes a new one for each accepted note. */
+/** The complete configuration at a revision. Immutable: each accepted release note results in a new one. */
 export type Configuration = {
     /** Number of release notes accepted so far; 0 before the first. */
     readonly revision: number;
@@ -15,6 +15,6 @@
     readonly models: ReadonlyMap<ModelName, ModelSpec>;
     readonly services: ReadonlyMap<ServiceName, ServiceSpec>;
     readonly endpoints: ReadonlyMap<EndpointName, EndpointSpec>;
-    /** Ids of withdrawn keys, so that a caller learns that its key was withdrawn rather than never known. */
+    /** Withdrawn keys, so that a caller is told that its key was withdrawn and not that it is unknown. */
     readonly withdrawnKeys: ReadonlyMap<KeyId, KeySpec>;
 };
--- a/packages/release/src/ConfigurationState.ts
+++ b/packages/release/src/ConfigurationState.ts
@@ -4,15 +4,15 @@
 import type { ReleaseSummary } from "./ReleaseSummary.js";
 import type { Verdict } from "./Verdict.js";
 
-/** What folding the configuration stream up to an offset gives. Equal on every VM that folded as far. */
+/** Result of folding the configuration stream up to an offset. Equal on all VMs at the same offset. */
 export type ConfigurationState = {
     readonly configuration: Configuration;
     /** Offset of the next record to fold. */
     readonly offset: number;
-    /** Chained over the accepted notes, in hexadecimal. Two states of one revision have the same digest. */
+    /** Hexadecimal digest chained over the accepted notes. Two states of the same revision have the same digest. */
     readonly digest: string;
-    /** Records folded lately, the oldest first, so that a repeated record is ignored and an operator gets its answer. */
+    /** Verdicts of recent records, oldest first, so that a repeated record is ignored and gets the same answer. */
     readonly recent: ReadonlyMap<RecordId, Verdict>;
-    /** Notes accepted lately, the oldest first. */
+    /** Recently accepted notes, oldest first. */
     readonly releases: readonly ReleaseSummary[];
 };
--- a/packages/release/src/EndpointSpec.ts
+++ b/packages/release/src/EndpointSpec.ts
@@ -7,13 +7,13 @@
     kind: z.enum(["model", "service", "cache"]),
     failureDomain: FailureDomain,
     url: z.string().url(),
-    /** Models that a model engine is to hold. */
+    /** Models that a model engine must load. */
     models: z.array(ModelName).default([]),
-    /** The service that a plain service's replica belongs to. */
+    /** The service of which this endpoint is a replica, for kind `service`. */
     service: ServiceName.optional(),
-    /** Whether it refuses orders with an old fencing number. */
+    /** Whether it refuses orders with an old fencing token. */
     checksFencing: z.boolean().default(true),
-    /** A leaving endpoint gets no new work; its streams finish. */
+    /** Whether it is leaving: it gets no new requests, and its running streams finish. */
     leaving: z.boolean().default(false),
 });
 type EndpointSpec = z.infer<typeof EndpointSpec>;
--- a/packages/release/src/FieldPath.ts
+++ b/packages/release/src/FieldPath.ts
@@ -1,2 +1,2 @@
-/** Where a field stands in a document: names of fields and indexes of list entries. */
+/** Path of a field in a document: field names and list indexes. */
 export type FieldPath = readonly (string | number)[];
--- a/packages/release/src/ItemChange.ts
+++ b/packages/release/src/ItemChange.ts
@@ -1,10 +1,10 @@
 import type { ItemKind } from "./ItemKind.js";
 
-/** One item in which two configurations differ. */
+/** Difference of one item between two configurations. */
 export type ItemChange = {
     readonly kind: ItemKind;
     readonly id: string;
     readonly change: "added" | "changed" | "withdrawn";
-    /** Fields of a changed item that differ. */
+    /** Names of the fields that differ, for a changed item. */
     readonly fields: readonly string[];
 };
--- a/packages/release/src/ItemKind.ts
+++ b/packages/release/src/ItemKind.ts
@@ -1,2 +1,2 @@
-/** What a release note can add, change and withdraw; also the names of its sections. */
+/** Kinds of items that a release note can add, change or withdraw; also the names of the lists in its sections. */
 export type ItemKind = "organisations" | "keys" | "models" | "services" | "endpoints";
--- a/packages/release/src/ItemSpec.ts
+++ b/packages/release/src/ItemSpec.ts
@@ -4,5 +4,5 @@
 import type { OrganisationSpec } from "./OrganisationSpec.js";
 import type { ServiceSpec } from "./ServiceSpec.js";
 
-/** An item of any kind. */
+/** Specification of an item of any kind. */
 export type ItemSpec = OrganisationSpec | KeySpec | ModelSpec | ServiceSpec | EndpointSpec;
--- a/packages/release/src/KeySpec.ts
+++ b/packages/release/src/KeySpec.ts
@@ -1,10 +1,10 @@
 import { KeyId, OrganisationId } from "@azureshunt/core";
 import { z } from "zod";
 
-/** A key as a release note declares it. The key itself is shown once and never stored; this holds its digest. */
+/** A key as declared by a release note. The key itself is shown once and never stored; only its digest is. */
 const KeySpec = z.strictObject({
     id: KeyId,
-    /** `caller` keys belong to an organisation; `admin` keys to none. */
+    /** `caller` keys belong to an organisation, `admin` keys to none. */
     kind: z.enum(["caller", "admin"]).default("caller"),
     organisation: OrganisationId.optional(),
     /** SHA-256 of the key in hexadecimal. */
--- a/packages/release/src/NoteItems.ts
+++ b/packages/release/src/NoteItems.ts
@@ -6,7 +6,7 @@
 import { OrganisationSpec } from "./OrganisationSpec.js";
 import { ServiceSpec } from "./ServiceSpec.js";
 
-/** Items that a release note adds, or changes: a changed item is given whole and replaces the former one. */
+/** Items that a release note adds or changes. A changed item is given in full and replaces the previous one. */
 const NoteItems = z.strictObject({
     organisations: z.array(OrganisationSpec).default([]),
     keys: z.array(KeySpec).default([]),
--- a/packages/release/src/OrganisationSpec.ts
+++ b/packages/release/src/OrganisationSpec.ts
@@ -1,21 +1,21 @@
 import { FailureDomain, ModelName, OrganisationId, ServiceName } from "@azureshunt/core";
 import { z } from "zod";
 
-/** An organisation as a release note declares it. */
+/** An organisation as declared by a release note. */
 const OrganisationSpec = z.strictObject({
     id: OrganisationId,
-    /** Tokens a second over all VMs together. */
+    /** Tokens per second, over all VMs together. */
     rate: z.number().positive(),
-    /** Tokens that may be spent at once over all VMs together. */
+    /** Tokens that may be spent at once, over all VMs together. */
     burst: z.number().positive(),
-    /** Part of rate and burst that each failure domain holds; equal parts when left out. Parts sum to 1. */
+    /** Fraction of rate and burst for each failure domain, with a sum of 1; by default equal fractions. */
     shares: z.record(FailureDomain, z.number().min(0).max(1)).optional(),
-    /** Weight in the fair queue; twice the weight gets twice the work when endpoints are full. */
+    /** Weight in the fair queue: while endpoints are full, twice the weight gets twice the work. */
     weight: z.number().positive().default(1),
-    /** Models and services that it may use; all when left out. */
+    /** Models and services that it may use; by default all. */
     models: z.array(ModelName).optional(),
     services: z.array(ServiceName).optional(),
-    /** Seconds without news of the configuration after which its requests are refused; never when left out. */
+    /** Seconds since a VM last knew its configuration to be current, after which it refuses requests; by default none. */
     maxStalenessSeconds: z.number().positive().optional(),
 });
 type OrganisationSpec = z.infer<typeof OrganisationSpec>;
--- a/packages/release/src/ReleaseSummary.ts
+++ b/packages/release/src/ReleaseSummary.ts
@@ -1,18 +1,18 @@
 import { RecordId } from "@azureshunt/core";
 import { z } from "zod";
 
-/** An accepted release note, as lists show it. */
+/** Summary of an accepted release note, for lists. */
 const ReleaseSummary = z.object({
     revision: z.number().int().positive(),
     id: RecordId,
-    /** Its place in the log, where the whole note can be read while the log keeps it. */
+    /** Its offset in the log, where the complete note can be read while the log retains it. */
     offset: z.number().int().min(0),
-    /** When the platform took it: milliseconds since the epoch, for people only. */
+    /** When the log stored it, in milliseconds since the epoch; for display only. */
     at: z.number(),
     note: z.string(),
-    /** What it touched, such as `added model llama`; the first ones of a long note. */
+    /** Items that it touched, such as `added model llama`; of a long note only the first. */
     touched: z.array(z.string()),
-    /** How many items it touched. */
+    /** Number of all items that it touched. */
     touchedCount: z.number().int(),
 });
 type ReleaseSummary = z.infer<typeof ReleaseSummary>;
--- a/packages/release/src/SnapshotData.ts
+++ b/packages/release/src/SnapshotData.ts
@@ -6,10 +6,10 @@
 import { ReleaseSummary } from "./ReleaseSummary.js";
 import { Verdict } from "./Verdict.js";
 
-/** A whole `ConfigurationState` as JSON: data of a snapshot record, and what a daemon gives a peer that is behind. */
+/** A complete `ConfigurationState` as JSON: data of a snapshot record, and of a daemon's answer to an outdated peer. */
 const SnapshotData = z.object({
     kind: z.literal("snapshot"),
-    /** Offset of the first record that is not in the snapshot. */
+    /** Offset of the first record that is not included. */
     offset: z.number().int().min(0),
     revision: z.number().int().min(0),
     digest: z.string().regex(/^[0-9a-f]{64}$/),
--- a/packages/release/src/Verdict.ts
+++ b/packages/release/src/Verdict.ts
@@ -6,19 +6,19 @@
     kind: z.literal("conflict"),
     /** Revision that the note was written against. */
     base: z.number().int(),
-    /** Revision at the note's place in the log. */
+    /** Revision at the note's offset in the log. */
     revision: z.number().int(),
-    /** What was changed meanwhile, such as `model llama`. */
+    /** Items changed since `base`, such as `changed model llama`. */
     changed: z.array(z.string()),
 });
 
 const Invalid = z.object({
     kind: z.literal("invalid"),
-    /** One line a fault; the first few. */
+    /** One line per fault; only the first ones. */
     faults: z.array(z.string()),
 });
 
-/** What became of a release note that was appended to the log. The same on every VM. */
+/** Whether a release note in the log was accepted, and if not, why. The same on every VM. */
 const Verdict = z.discriminatedUnion("kind", [Accepted, Conflict, Invalid]);
 type Verdict = z.infer<typeof Verdict>;
 
--- a/packages/release/src/WithdrawnItems.ts
+++ b/packages/release/src/WithdrawnItems.ts
@@ -1,7 +1,7 @@
 import { EndpointName, KeyId, ModelName, OrganisationId, ServiceName } from "@azureshunt/core";
 import { z } from "zod";
 
-/** Ids of items that a release note withdraws. The keys of a withdrawn organisation are withdrawn with it. */
+/** Ids of the items that a release note withdraws. Withdrawing an organisation also withdraws its keys. */
 const WithdrawnItems = z.strictObject({
     organisations: z.array(OrganisationId).default([]),
     keys: z.array(KeyId).default([]),
--- a/packages/release/src/__tests__/support/noteOf.ts
+++ b/packages/release/src/__tests__/support/noteOf.ts
@@ -1,6 +1,6 @@
 import { ReleaseNote } from "../../ReleaseNote.js";
 
-/** Builds a note for tests from the parts that matter. */
+/** Builds a valid note from the given fields. */
 export function noteOf(parts: object): ReleaseNote {
     return ReleaseNote.parse({ note: "test", ...parts });
 }
--- a/packages/release/src/__tests__/support/sampleNote.ts
+++ b/packages/release/src/__tests__/support/sampleNote.ts
@@ -2,10 +2,10 @@
 
 const DIGITS = "0123456789abcdef";
 
-/** Digest for tests: one digit repeated. */
+/** A digest that consists of one repeated digit. */
 const digest = (digit: number): string => (DIGITS[digit] ?? "0").repeat(64);
 
-/** A whole small fleet as one note: two organisations, a model, a service and two endpoints. */
+/** A small complete configuration as one note: two organisations, a model, a service and two endpoints. */
 const sampleNote: ReleaseNote = ReleaseNote.parse({
     note: "first release",
     added: {
--- a/packages/release/src/__tests__/unit/adoptState.test.ts
+++ b/packages/release/src/__tests__/unit/adoptState.test.ts
@@ -13,18 +13,18 @@
 
 const OWN = stateAt(5, 3, "a");
 
-// A starting daemon takes the state of a peer that lags or has gone astray, and brings a replaced configuration back.
+// A starting daemon that adopted the state of an outdated or diverged peer would restore an old configuration.
 const CASES = [
-    { title: "further on is taken", other: stateAt(9, 4, "b"), taken: true },
-    { title: "further on at the same revision is taken", other: stateAt(9, 3, "a"), taken: true },
-    { title: "behind is not taken", other: stateAt(4, 2, "b"), taken: false },
-    { title: "as far is not taken", other: stateAt(5, 3, "a"), taken: false },
-    { title: "a lower revision is not taken at any offset", other: stateAt(9, 2, "b"), taken: false },
-    { title: "another digest of the same revision is not taken", other: stateAt(9, 3, "b"), taken: false },
+    { title: "a state that is ahead is adopted", other: stateAt(9, 4, "b"), isAdopted: true },
+    { title: "a state that is ahead at the same revision is adopted", other: stateAt(9, 3, "a"), isAdopted: true },
+    { title: "an outdated state is not adopted", other: stateAt(4, 2, "b"), isAdopted: false },
+    { title: "a state at the same offset is not adopted", other: stateAt(5, 3, "a"), isAdopted: false },
+    { title: "a lower revision is not adopted, even at a higher offset", other: stateAt(9, 2, "b"), isAdopted: false },
+    { title: "a different digest at the same revision is not adopted", other: stateAt(9, 3, "b"), isAdopted: false },
 ];
 
-CASES.forEach(({ title, other, taken }) =>
+CASES.forEach(({ title, other, isAdopted }) =>
     test(`another reader's state: ${title}`, t => {
-        t.is(adoptState(OWN, other), taken ? other : OWN);
+        t.is(adoptState(OWN, other), isAdopted ? other : OWN);
     })
 );
--- a/packages/release/src/__tests__/unit/exportNote.test.ts
+++ b/packages/release/src/__tests__/unit/exportNote.test.ts
@@ -18,13 +18,13 @@
     withdrawn: { keys: ["chains-1"] },
 });
 
-test("an exported configuration is a valid note that brings about the same items", t => {
+test("an exported configuration is a valid note that results in the same items", t => {
     const note = exportNote(CFG);
     t.deepEqual(validateNote(emptyConfiguration, note), []);
     t.deepEqual(diffConfiguration(CFG, applyNote(emptyConfiguration, note)), []);
 });
 
-test("the difference of two configurations names items and changed fields", t => {
+test("the difference of two configurations lists items and changed fields", t => {
     t.deepEqual(diffConfiguration(CFG, applyNote(CFG, CHANGE)), [
         { kind: "keys", id: "chains-1", change: "withdrawn", fields: [] },
         { kind: "models", id: "guide", change: "changed", fields: ["version", "adapters"] },
@@ -32,7 +32,7 @@
     ]);
 });
 
-test("a note is in force only once all of it is", t => {
+test("a note is in force only if all of its changes are", t => {
     t.false(isInForce(CFG, CHANGE));
     t.true(isInForce(applyNote(CFG, CHANGE), CHANGE));
     t.false(isInForce(applyNote(CFG, noteOf({ withdrawn: { keys: ["chains-1"] } })), CHANGE));
--- a/packages/release/src/__tests__/unit/foldProperties.test.ts
+++ b/packages/release/src/__tests__/unit/foldProperties.test.ts
@@ -16,8 +16,8 @@
 const RUNS = 300;
 const NAMES = ["m1", "m2", "m3"];
 
-/** What operators do: any note on a few models, with any base, under an id that may repeat; or rubbish. */
-const data = fc.oneof(
+/** Data of release records: any note on a few models, with any base or none. */
+const releaseData = fc.oneof(
     { weight: 8, arbitrary: fc.tuple(fc.constantFrom("added", "changed"), fc.constantFrom(...NAMES), fc.nat(4)) },
     { weight: 3, arbitrary: fc.tuple(fc.constant("withdrawn"), fc.constantFrom(...NAMES), fc.nat(4)) },
 ).chain(([section, name, version]) =>
@@ -26,12 +26,12 @@
         return releaseRecord(noteOf({ base, [section]: { models } }));
     })
 );
-const entry = fc.record({ id: fc.nat(30), data: fc.oneof({ weight: 6, arbitrary: data }, fc.jsonValue()) });
+const entry = fc.record({ id: fc.nat(30), data: fc.oneof({ weight: 6, arbitrary: releaseData }, fc.jsonValue()) });
 const log = fc.array(entry, { maxLength: 40 }).map(entries =>
     entries.map((each, offset) => recordOf(offset, `r${each.id}`, each.data))
 );
 
-const trail = (records: readonly ConfigurationRecord[]): readonly ConfigurationState[] =>
+const statesOf = (records: readonly ConfigurationRecord[]): readonly ConfigurationState[] =>
     records.reduce<ConfigurationState[]>((states, record) => {
         states.push(foldRecord(states.at(-1) ?? initialState, record).state);
         return states;
@@ -43,34 +43,34 @@
 test("readers that read in any portions, with repetitions, reach the same state", t => {
     fc.assert(
         fc.property(log, fc.array(fc.nat(40), { maxLength: 10 }), (records, rewinds) => {
-            const straight = foldFrom(initialState, records);
-            const restless = rewinds.reduce(
+            const expected = foldFrom(initialState, records);
+            const rewound = rewinds.reduce(
                 (at, to) => foldFrom(foldFrom(at, records.slice(0, at.offset + 1)), records.slice(to, at.offset)),
                 initialState,
             );
-            t.deepEqual(foldFrom(restless, records), straight);
+            t.deepEqual(foldFrom(rewound, records), expected);
         }),
         { seed: SEED, numRuns: RUNS },
     );
 });
 
-test("a reader that joins by any snapshot reaches the same state and digest", t => {
+test("a reader that starts from any snapshot reaches the same state and digest", t => {
     fc.assert(
         fc.property(log, fc.nat(40), (records, cut) => {
-            const states = trail(records);
+            const states = statesOf(records);
             const at = Math.min(cut, records.length);
             const data = JSON.parse(JSON.stringify(snapshotRecord(states[at] ?? initialState))) as unknown;
-            const joined = stateOfSnapshot(data) ?? initialState;
-            t.deepEqual(foldFrom(joined, records), states.at(-1));
+            const restored = stateOfSnapshot(data) ?? initialState;
+            t.deepEqual(foldFrom(restored, records), states.at(-1));
         }),
         { seed: SEED, numRuns: RUNS },
     );
 });
 
-test("revisions never go back, whatever is folded and adopted in whatever order", t => {
+test("revisions never decrease, whatever is folded or adopted, in any order", t => {
     fc.assert(
         fc.property(log, fc.array(fc.tuple(fc.boolean(), fc.nat(41)), { maxLength: 60 }), (records, moves) => {
-            const states = trail(records);
+            const states = statesOf(records);
             moves.reduce((state, [isAdoption, at]) => {
                 const next = isAdoption
                     ? adoptState(state, states[Math.min(at, records.length)] ?? initialState)
--- a/packages/release/src/__tests__/unit/foldRecord.test.ts
+++ b/packages/release/src/__tests__/unit/foldRecord.test.ts
@@ -34,7 +34,7 @@
     { kind: "later-version", note: sampleNote },
 ];
 
-test("malformed and unknown records never throw and change nothing but the offset", t => {
+test("malformed and unknown records never throw and change only the offset", t => {
     MALFORMED.forEach(data => {
         const { state } = foldRecord(AFTER_FIRST, recordOf(1, "bad", data));
         t.is(state.configuration, AFTER_FIRST.configuration);
@@ -43,8 +43,8 @@
     });
 });
 
-test("racing operators: the second one gets a conflict that names what changed", t => {
-    // Two operators write against the same revision, and the second note puts back what the first one changed.
+test("two operators at the same revision: the second gets a conflict that lists the changes", t => {
+    // Without the conflict, the second note would overwrite the changes of the first.
     const second = foldRecord(AFTER_FIRST, recordOf(1, "a", version("v2", 1)));
     const third = foldRecord(second.state, recordOf(2, "b", version("v3", 1)));
     t.deepEqual(second.outcome, { kind: "accepted", revision: 2 });
@@ -53,7 +53,7 @@
 });
 
 test("a record that was appended twice counts once", t => {
-    // A record that was appended twice undoes what another operator changed in between.
+    // Folding the second copy would undo what another operator changed in between.
     const records = [recordOf(1, "a", version("v2")), recordOf(2, "b", version("v1")), recordOf(3, "a", version("v2"))];
     const state = foldAll(AFTER_FIRST, records);
     t.is([...state.configuration.models.values()][0]?.version, "v1" as never);
@@ -69,24 +69,24 @@
     t.is(outcome.kind === "invalid" ? outcome.faults.length : 0, 8);
 });
 
-test("a record behind a gap is not folded", t => {
-    // Reading goes on behind dropped records, and a withdrawal among them is skipped for good.
+test("a record after a gap is not folded", t => {
+    // If reading continued after dropped records, a withdrawal among them would never be applied.
     const { state, outcome } = foldRecord(AFTER_FIRST, recordOf(5, "a", version("v2")));
     t.is(state, AFTER_FIRST);
     t.deepEqual(outcome, { kind: "gap" });
 });
 
-test("a snapshot carries a reader across a gap, and reading goes on at its offset", t => {
+test("a snapshot takes a reader across a gap, and reading continues at its offset", t => {
     const ahead = foldAll(AFTER_FIRST, [recordOf(1, "a", version("v2")), recordOf(2, "b", version("v3"))]);
     const data = JSON.parse(JSON.stringify(snapshotRecord(ahead))) as unknown;
     const { state, outcome } = foldRecord(initialState, recordOf(7, "s", data));
-    t.deepEqual(outcome, { kind: "snapshot-taken" });
+    t.deepEqual(outcome, { kind: "snapshot-adopted" });
     t.deepEqual(state, ahead);
     t.deepEqual(foldRecord(ahead, recordOf(3, "s", data)).outcome, { kind: "snapshot-ignored" });
 });
 
-test("an old snapshot never takes a reader back", t => {
-    // An old snapshot is taken behind a gap, and a withdrawn key is in force again.
+test("an old snapshot never reverts the state", t => {
+    // If an old snapshot were adopted after a gap, a withdrawn key would be valid again.
     const old = snapshotRecord(AFTER_FIRST);
     const ahead = foldAll(AFTER_FIRST, [
         recordOf(1, "w", releaseRecord(noteOf({ withdrawn: { keys: ["chains-1"] } }))),
@@ -95,7 +95,7 @@
     t.is(state, ahead);
 });
 
-test("a snapshot that claims records after itself is not taken", t => {
+test("a snapshot that claims to include records after itself is not adopted", t => {
     const data = { ...snapshotRecord({ ...AFTER_FIRST, offset: 50 }) };
     t.is(foldRecord(initialState, recordOf(7, "s", data)).state, initialState);
 });
--- a/packages/release/src/__tests__/unit/parseReleaseNote.test.ts
+++ b/packages/release/src/__tests__/unit/parseReleaseNote.test.ts
@@ -5,7 +5,7 @@
 
 const faultsIn = (text: string): readonly string[] => parseReleaseNote(text).swap().orDefault([]).map(faultText);
 
-const GOOD = `note: give a key
+const VALID = `note: give a key
 base: 4
 added:
     keys:
@@ -16,18 +16,18 @@
     keys: [k0]
 `;
 
-test("a good note is read with its default values", t => {
-    const note = parseReleaseNote(GOOD).map(parsed => parsed.value).extract();
+test("a valid note is parsed with default values", t => {
+    const note = parseReleaseNote(VALID).map(parsed => parsed.value).extract();
     t.like(note, { note: "give a key", base: 4, withdrawn: { keys: ["k0"] }, changed: { models: [] } });
 });
 
-test("JSON is read as well", t => {
+test("JSON is accepted as well", t => {
     t.true(parseReleaseNote("{\"note\":\"n\",\"withdrawn\":{\"keys\":[\"k\"]}}").isRight());
 });
 
 const CASES = [
     {
-        title: "three faults are named at once, each in its place",
+        title: "three faults are listed at once, each with its position",
         text: `note: three faults
 added:
     organisations:
@@ -49,12 +49,12 @@
         ],
     },
     {
-        title: "a missing field is placed at the item that lacks it",
+        title: "a missing field is reported at the position of its item",
         text: "note: n\nadded:\n    models:\n        - name: guide\n",
         faults: ["4:11 added.models[0].version: found nothing; allowed: a value of type string"],
     },
     {
-        title: "a key pasted in place of its digest is not shown",
+        title: "a key given instead of its digest is not shown",
         text: "note: n\nadded:\n    keys:\n        - { id: k, organisation: o, digest: ask_secretsecret }\n",
         faults: ["4:37 added.keys[0].digest: found string of 16 characters; allowed: use 64 hexadecimal digits"],
     },
@@ -72,14 +72,14 @@
         faults: ["1:1 document: found an empty value; allowed: a value of type object"],
     },
     {
-        title: "a note that changes nothing",
+        title: "a note without changes",
         text: "note: n\n",
         faults: [
             "1:1 document: found a note that changes nothing; allowed: something added, changed or withdrawn",
         ],
     },
     {
-        title: "an item twice, shares that do not sum to 1, a caller's key of no organisation",
+        title: "an item given twice, shares that do not sum to 1, a caller's key without organisation",
         text: `note: n
 added:
     organisations:
@@ -97,7 +97,7 @@
         ],
     },
     {
-        title: "aliases nested to fill the memory",
+        title: "aliases nested to exhaust the memory",
         text: `a: &a [x,x,x,x,x,x,x,x,x,x]\nb: &b [*a,*a,*a,*a,*a,*a,*a,*a,*a,*a]\n`
             + `c: &c [*b,*b,*b,*b,*b,*b,*b,*b,*b,*b]\nd: [*c,*c,*c,*c,*c,*c,*c,*c,*c,*c]\n`,
         faults: [
--- a/packages/release/src/__tests__/unit/validateNote.test.ts
+++ b/packages/release/src/__tests__/unit/validateNote.test.ts
@@ -13,12 +13,12 @@
 
 const CASES = [
     {
-        title: "adding what exists",
+        title: "adding an item that exists",
         parts: { added: { models: [{ name: "guide", version: "v2" }] } },
         found: ["added.models[0]: found model guide, which exists already"],
     },
     {
-        title: "changing and withdrawing what does not exist",
+        title: "changing and withdrawing items that do not exist",
         parts: { changed: { models: [{ name: "none", version: "v2" }] }, withdrawn: { keys: ["none"] } },
         found: [
             "withdrawn.keys[0]: found key none, which does not exist",
@@ -39,12 +39,12 @@
         found: ["added.keys[0].organisation: found organisation chains, which does not exist"],
     },
     {
-        title: "a digest that another key has",
+        title: "a digest of another key",
         parts: { added: { keys: [{ id: "k", organisation: "chains", digest: "1".repeat(64) }] } },
         found: ["added.keys[0].digest: found the digest of key chains-1"],
     },
     {
-        title: "an endpoint of unknown model, and of unknown service",
+        title: "an endpoint with an unknown model, and one with an unknown service",
         parts: {
             added: {
                 endpoints: [
@@ -59,7 +59,7 @@
         ],
     },
     {
-        title: "an endpoint at another's url",
+        title: "an endpoint with the URL of another",
         parts: {
             added: {
                 endpoints: [
@@ -77,12 +77,12 @@
         ],
     },
     {
-        title: "a model that an endpoint and an organisation still name",
+        title: "withdrawing a model to which an endpoint and an organisation still refer",
         parts: { withdrawn: { models: ["guide"] } },
         found: ["withdrawn.models[0]: found guide, which endpoint e1, organisation signs still name"],
     },
     {
-        title: "a good change",
+        title: "a valid change",
         parts: { changed: { models: [{ name: "guide", version: "v2" }] }, withdrawn: { organisations: ["chains"] } },
         found: [],
     },
@@ -95,7 +95,7 @@
     })
 );
 
-test("an id of a withdrawn key cannot be given again", t => {
+test("the id of a withdrawn key cannot be used again", t => {
     const note = noteOf({ added: { keys: [{ id: "chains-1", organisation: "chains", digest: DIGEST }] } });
     t.deepEqual(validateNote(WITHDRAWN, note).map(fault => fault.found), ["key chains-1, which was withdrawn"]);
 });
--- a/packages/release/src/applyNote.ts
+++ b/packages/release/src/applyNote.ts
@@ -6,19 +6,19 @@
 import type { KeySpec } from "./KeySpec.js";
 import type { ReleaseNote } from "./ReleaseNote.js";
 
-/** Withdrawn keys that are remembered; an older one is answered as unknown, which refuses it all the same. */
+/** Maximum number of withdrawn keys remembered; an older one counts as unknown, and so is refused as well. */
 const MAX_WITHDRAWN_KEYS = 4_096;
 
-const edited = <Id extends string, Spec extends ItemSpec>(
+const withEdits = <Id extends string, Spec extends ItemSpec>(
     items: ReadonlyMap<Id, Spec>,
-    put: readonly Spec[],
+    upserted: readonly Spec[],
     withdrawn: readonly Id[],
 ): ReadonlyMap<Id, Spec> => {
-    if (put.length === 0 && withdrawn.length === 0) {
+    if (upserted.length === 0 && withdrawn.length === 0) {
         return items;
     }
     const next = new Map(items);
-    put.forEach(spec => next.set(itemId(spec) as Id, spec));
+    upserted.forEach(spec => next.set(itemId(spec) as Id, spec));
     withdrawn.forEach(id => next.delete(id));
     return next;
 };
@@ -35,7 +35,7 @@
     return [...new Set([...note.withdrawn.keys, ...ofOrganisations])];
 };
 
-const remembered = (cfg: Configuration, ids: readonly KeyId[]): ReadonlyMap<KeyId, KeySpec> => {
+const withdrawnKeysAfter = (cfg: Configuration, ids: readonly KeyId[]): ReadonlyMap<KeyId, KeySpec> => {
     const specs = ids.flatMap(id => cfg.keys.get(id) ?? []);
     if (specs.length === 0) {
         return cfg.withdrawnKeys;
@@ -45,23 +45,23 @@
 };
 
 /**
- * Gives the configuration after a note. The note is taken as valid: see `validateNote`. Maps that the note does not
- * touch are shared with the former configuration.
+ * Returns the configuration after a note, which must be valid (see `validateNote`). Maps that the note does not change
+ * are shared with the previous configuration.
  */
 export function applyNote(cfg: Configuration, note: ReleaseNote): Configuration {
     const { added, changed, withdrawn } = note;
     const keyIds = withdrawnKeyIds(cfg, note);
     return {
         revision: cfg.revision + 1,
-        organisations: edited(
+        organisations: withEdits(
             cfg.organisations,
             [...added.organisations, ...changed.organisations],
             withdrawn.organisations,
         ),
-        keys: edited(cfg.keys, [...added.keys, ...changed.keys], keyIds),
-        models: edited(cfg.models, [...added.models, ...changed.models], withdrawn.models),
-        services: edited(cfg.services, [...added.services, ...changed.services], withdrawn.services),
-        endpoints: edited(cfg.endpoints, [...added.endpoints, ...changed.endpoints], withdrawn.endpoints),
-        withdrawnKeys: remembered(cfg, keyIds),
+        keys: withEdits(cfg.keys, [...added.keys, ...changed.keys], keyIds),
+        models: withEdits(cfg.models, [...added.models, ...changed.models], withdrawn.models),
+        services: withEdits(cfg.services, [...added.services, ...changed.services], withdrawn.services),
+        endpoints: withEdits(cfg.endpoints, [...added.endpoints, ...changed.endpoints], withdrawn.endpoints),
+        withdrawnKeys: withdrawnKeysAfter(cfg, keyIds),
     };
 }
--- a/packages/release/src/checkNote.ts
+++ b/packages/release/src/checkNote.ts
@@ -19,7 +19,7 @@
     ...note.withdrawn[kind].map((id, index): Mention => ({ section: "withdrawn", kind, index, id })),
 ];
 
-const repeated = (mentions: readonly Mention[]): readonly NoteFault[] => {
+const duplicateFaults = (mentions: readonly Mention[]): readonly NoteFault[] => {
     const first = new Map<string, Mention>();
     return mentions.flatMap(mention => {
         const former = first.get(mention.id);
@@ -58,7 +58,7 @@
 };
 
 const endpointFaults = (section: Section, spec: EndpointSpec, index: number): readonly NoteFault[] => {
-    const at = (field: string, found: string, allowed: string): NoteFault => ({
+    const faultAt = (field: string, found: string, allowed: string): NoteFault => ({
         path: [section, "endpoints", index, field],
         found,
         allowed,
@@ -68,10 +68,10 @@
     const excessModels = spec.kind !== "model" && spec.models.length > 0;
     const excessService = spec.kind !== "service" && spec.service !== undefined;
     return [
-        ...(needsModels ? [at("models", "no model", "at least one model for kind model")] : []),
-        ...(needsService ? [at("service", "nothing", "the service of an endpoint of kind service")] : []),
-        ...(excessModels ? [at("models", spec.models.join(", "), `no models for kind ${spec.kind}`)] : []),
-        ...(excessService ? [at("service", `"${spec.service}"`, `no service for kind ${spec.kind}`)] : []),
+        ...(needsModels ? [faultAt("models", "no model", "at least one model for kind model")] : []),
+        ...(needsService ? [faultAt("service", "nothing", "the service of an endpoint of kind service")] : []),
+        ...(excessModels ? [faultAt("models", spec.models.join(", "), `no models for kind ${spec.kind}`)] : []),
+        ...(excessService ? [faultAt("service", `"${spec.service}"`, `no service for kind ${spec.kind}`)] : []),
     ];
 };
 
@@ -81,16 +81,16 @@
     ...note[section].endpoints.flatMap((spec, index) => endpointFaults(section, spec, index)),
 ];
 
-const emptiness = (note: ReleaseNote): readonly NoteFault[] =>
+const emptyNoteFaults = (note: ReleaseNote): readonly NoteFault[] =>
     itemKinds.some(kind => mentionsOf(note, kind).length > 0)
         ? []
         : [{ path: [], found: "a note that changes nothing", allowed: "something added, changed or withdrawn" }];
 
-/** Lists the faults of a note that show without knowing the configuration. */
+/** Lists the faults of a note that can be found without the configuration. */
 export function checkNote(note: ReleaseNote): readonly NoteFault[] {
     return [
-        ...emptiness(note),
-        ...itemKinds.flatMap(kind => repeated(mentionsOf(note, kind))),
+        ...emptyNoteFaults(note),
+        ...itemKinds.flatMap(kind => duplicateFaults(mentionsOf(note, kind))),
         ...itemFaults("added", note),
         ...itemFaults("changed", note),
     ];
--- a/packages/release/src/dependentFaults.ts
+++ b/packages/release/src/dependentFaults.ts
@@ -2,11 +2,11 @@
 import type { NoteFault } from "./NoteFault.js";
 import type { ReleaseNote } from "./ReleaseNote.js";
 
-const MAX_NAMED = 5;
+const MAX_NAMES_SHOWN = 5;
 
-const namesOf = (names: readonly string[]): string => {
-    const shown = names.slice(0, MAX_NAMED).join(", ");
-    return names.length > MAX_NAMED ? `${shown} and ${names.length - MAX_NAMED} more` : shown;
+const listNames = (names: readonly string[]): string => {
+    const shown = names.slice(0, MAX_NAMES_SHOWN).join(", ");
+    return names.length > MAX_NAMES_SHOWN ? `${shown} and ${names.length - MAX_NAMES_SHOWN} more` : shown;
 };
 
 const faultOf = (
@@ -17,11 +17,11 @@
 ): readonly NoteFault[] =>
     dependents.length === 0 ? [] : [{
         path: ["withdrawn", kind, index],
-        found: `${id}, which ${namesOf(dependents)} still name`,
+        found: `${id}, which ${listNames(dependents)} still name`,
         allowed: "an item that nothing names any more; change or withdraw those in the same note",
     }];
 
-/** Lists withdrawn models and services that endpoints or organisations would go on naming. */
+/** Lists withdrawn models and services to which endpoints or organisations would still refer. */
 export function dependentFaults(next: Configuration, note: ReleaseNote): readonly NoteFault[] {
     if (note.withdrawn.models.length === 0 && note.withdrawn.services.length === 0) {
         return [];
--- a/packages/release/src/describeValue.ts
+++ b/packages/release/src/describeValue.ts
@@ -7,7 +7,7 @@
 
 const shorten = (text: string): string => text.length > MAX_SHOWN ? `${text.slice(0, MAX_SHOWN)}…` : text;
 
-/** Describes a value for a fault. A field that may hold a secret is described by its length only. */
+/** Describes a value for a fault. Of a field that may contain a secret, only type and length are given. */
 export function describeValue(value: unknown, path: FieldPath): string {
     if (value === undefined) {
         return "nothing";
--- a/packages/release/src/diffConfiguration.ts
+++ b/packages/release/src/diffConfiguration.ts
@@ -18,7 +18,7 @@
     if (before === after) {
         return [];
     }
-    const put = [...after].flatMap(([id, spec]): readonly ItemChange[] => {
+    const upserted = [...after].flatMap(([id, spec]): readonly ItemChange[] => {
         const former = before.get(id);
         if (former === undefined) {
             return [{ kind, id, change: "added", fields: [] }];
@@ -29,7 +29,7 @@
     const withdrawn = [...before.keys()]
         .filter(id => !after.has(id))
         .map((id): ItemChange => ({ kind, id, change: "withdrawn", fields: [] }));
-    return [...put, ...withdrawn];
+    return [...upserted, ...withdrawn];
 };
 
 /** Lists the items in which configuration `b` differs from `a`. */
--- a/packages/release/src/exportNote.ts
+++ b/packages/release/src/exportNote.ts
@@ -1,7 +1,7 @@
 import type { Configuration } from "./Configuration.js";
 import { ReleaseNote } from "./ReleaseNote.js";
 
-/** Gives the whole configuration as one note: applied to an empty configuration, it brings about the same items. */
+/** Exports a configuration as one note that, applied to an empty configuration, results in the same items. */
 export function exportNote(cfg: Configuration): ReleaseNote {
     return ReleaseNote.parse({
         note: `Configuration at revision ${cfg.revision}`,
--- a/packages/release/src/faultText.ts
+++ b/packages/release/src/faultText.ts
@@ -2,7 +2,7 @@
 import type { NoteFault } from "./NoteFault.js";
 import { pathText } from "./pathText.js";
 
-/** Writes a fault as one line: place, field, what was found, what is allowed. */
+/** Formats a fault as one line: position if known, field, value found, values allowed. */
 export function faultText(fault: NoteFault | LocatedFault): string {
     const place = "line" in fault ? `${fault.line}:${fault.column} ` : "";
     const field = fault.path.length === 0 ? "document" : pathText(fault.path);
--- a/packages/release/src/index.ts
+++ b/packages/release/src/index.ts
@@ -1,4 +1,4 @@
-/** Release notes and the configuration that folding them gives. */
+/** Release notes, and the configuration that results from folding them. */
 export { adoptState } from "./adoptState.js";
 export { applyNote } from "./applyNote.js";
 export { checkNote } from "./checkNote.js";
--- a/packages/release/src/isInForce.ts
+++ b/packages/release/src/isInForce.ts
@@ -7,8 +7,8 @@
 import type { ReleaseNote } from "./ReleaseNote.js";
 
 /**
- * Tells whether everything that a note asks for holds already, so that applying it again is answered as done rather
- * than as a fault.
+ * Returns whether the configuration already contains every change of a note. Applying such a note again then counts as
+ * done and not as a fault.
  */
 export function isInForce(cfg: Configuration, note: ReleaseNote): boolean {
     return itemKinds.every(kind => {
--- a/packages/release/src/itemText.ts
+++ b/packages/release/src/itemText.ts
@@ -8,7 +8,7 @@
     endpoints: "endpoint",
 };
 
-/** Names an item for people, such as `model llama`. */
+/** Formats an item for display, such as `model llama`. */
 export function itemText(kind: ItemKind, id: string): string {
     return `${SINGULAR[kind]} ${id}`;
 }
--- a/packages/release/src/parseDocument.ts
+++ b/packages/release/src/parseDocument.ts
@@ -9,11 +9,11 @@
 import { schemaFaults } from "./schemaFaults.js";
 import { sortFaults } from "./sortFaults.js";
 
-type Found = { readonly node: unknown; readonly start: number; };
+type NodePosition = { readonly node: unknown; readonly start: number; };
 
-const startOf = (node: unknown, before: number): number => isNode(node) ? node.range?.[0] ?? before : before;
+const startOf = (node: unknown, fallback: number): number => isNode(node) ? node.range?.[0] ?? fallback : fallback;
 
-const child = ({ node, start }: Found, step: string | number): Found => {
+const childOf = ({ node, start }: NodePosition, step: string | number): NodePosition => {
     if (isMap(node)) {
         const pair = node.items.find(item => isScalar(item.key) && String(item.key.value) === String(step));
         return { node: pair?.value, start: pair === undefined ? start : startOf(pair.key, start) };
@@ -23,23 +23,22 @@
 };
 
 const offsetOf = (doc: Document, path: FieldPath): number =>
-    path.reduce<Found>(child, { node: doc.contents, start: startOf(doc.contents, 0) }).start;
+    path.reduce<NodePosition>(childOf, { node: doc.contents, start: startOf(doc.contents, 0) }).start;
 
 const toValue = (doc: Document): Either<string, unknown> => {
     try {
         return Right(doc.toJS() as unknown);
     }
     catch (err) {
-        // An alias that is not defined, or aliases nested so that the value would fill the memory.
+        // Thrown for an undefined alias, and for aliases nested so deeply that the value would exhaust the memory.
         return Left(err instanceof Error ? err.message : String(err));
     }
 };
 
 /**
- * Reads a YAML (or JSON) text against a schema and finds all faults at once, each with its line and column.
+ * Parses a YAML or JSON text and validates it against a schema.
  *
- * @param schema what the document must be
- * @param text the document
+ * @returns the parsed document, or all its faults at once, each with its line and column
  */
 export function parseDocument<Schema extends z.ZodTypeAny>(
     schema: Schema,
--- a/packages/release/src/parseReleaseNote.ts
+++ b/packages/release/src/parseReleaseNote.ts
@@ -8,10 +8,10 @@
 import { sortFaults } from "./sortFaults.js";
 
 /**
- * Reads a release note from YAML or JSON. Faults of its shape come all at once; when its shape is right, all faults
- * that show without knowing the configuration.
+ * Parses a release note from YAML or JSON.
  *
- * @param text the note
+ * @returns the note, or all faults against the schema, or, if there are none, all faults that can be found without the
+ *     configuration
  */
 export function parseReleaseNote(text: string): Either<readonly LocatedFault[], ParsedDocument<ReleaseNote>> {
     return parseDocument(ReleaseNote, text).chain(parsed => {
--- a/packages/release/src/pathText.ts
+++ b/packages/release/src/pathText.ts
@@ -1,6 +1,6 @@
 import type { FieldPath } from "./FieldPath.js";
 
-/** Writes a path as people do, such as `added.keys[0].id`. */
+/** Formats a path, such as `added.keys[0].id`. */
 export function pathText(path: FieldPath): string {
     return path.reduce<string>((text, step) => {
         if (typeof step === "number") {
--- a/packages/release/src/referenceFaults.ts
+++ b/packages/release/src/referenceFaults.ts
@@ -10,19 +10,19 @@
 
 type Section = "added" | "changed";
 
-const unknown = (path: FieldPath, what: string, id: string): NoteFault => ({
+const unknownFault = (path: FieldPath, what: string, id: string): NoteFault => ({
     path,
     found: `${what} ${id}, which does not exist`,
     allowed: `a ${what} of the configuration or of this note`,
 });
 
-const missing = (
+const unknownIdFaults = (
     path: FieldPath,
     what: string,
     ids: readonly string[],
     known: { readonly has: (id: never) => boolean; },
 ): readonly NoteFault[] =>
-    ids.flatMap((id, index) => known.has(id as never) ? [] : [unknown([...path, index], what, id)]);
+    ids.flatMap((id, index) => known.has(id as never) ? [] : [unknownFault([...path, index], what, id)]);
 
 const organisationFaults = (
     next: Configuration,
@@ -30,11 +30,11 @@
     path: FieldPath,
     spec: OrganisationSpec,
 ): readonly NoteFault[] => [
-    ...missing([...path, "models"], "model", spec.models ?? [], next.models),
-    ...missing([...path, "services"], "service", spec.services ?? [], next.services),
+    ...unknownIdFaults([...path, "models"], "model", spec.models ?? [], next.models),
+    ...unknownIdFaults([...path, "services"], "service", spec.services ?? [], next.services),
     ...Object.keys(spec.shares ?? {})
         .filter(domain => !domains.has(domain))
-        .map(domain => unknown([...path, "shares", domain], "failure domain", domain)),
+        .map(domain => unknownFault([...path, "shares", domain], "failure domain", domain)),
 ];
 
 const keyFaults = (
@@ -46,9 +46,9 @@
 ): readonly NoteFault[] => {
     const owner = owners.get(spec.digest);
     const { organisation } = spec;
-    const isOrphan = organisation !== undefined && !next.organisations.has(organisation);
+    const hasUnknownOrganisation = organisation !== undefined && !next.organisations.has(organisation);
     return [
-        ...(isOrphan ? [unknown([...path, "organisation"], "organisation", organisation)] : []),
+        ...(hasUnknownOrganisation ? [unknownFault([...path, "organisation"], "organisation", organisation)] : []),
         ...(cfg.withdrawnKeys.has(spec.id)
             ? [{ path: [...path, "id"], found: `key ${spec.id}, which was withdrawn`, allowed: "a new id" }]
             : []),
@@ -66,17 +66,17 @@
 ): readonly NoteFault[] => {
     const owner = urls.get(spec.url);
     const { service } = spec;
-    const isAstray = service !== undefined && !next.services.has(service);
+    const hasUnknownService = service !== undefined && !next.services.has(service);
     return [
-        ...missing([...path, "models"], "model", spec.models, next.models),
-        ...(isAstray ? [unknown([...path, "service"], "service", service)] : []),
+        ...unknownIdFaults([...path, "models"], "model", spec.models, next.models),
+        ...(hasUnknownService ? [unknownFault([...path, "service"], "service", service)] : []),
         ...(owner !== undefined && owner !== spec.name
             ? [{ path: [...path, "url"], found: `the url of endpoint ${owner}`, allowed: "a url of its own" }]
             : []),
     ];
 };
 
-/** Finds the first item that has each of the wanted values. */
+/** Returns, for each wanted value, the id of the first item that has it. */
 const ownersOf = <Spec>(
     wanted: readonly string[],
     specs: readonly Iterable<Spec>[],
@@ -88,7 +88,7 @@
     if (values.size === 0) {
         return owners;
     }
-    // A loop without copies: this runs over all keys of the fleet while requests wait.
+    // A loop that copies nothing, because it visits all keys of all organisations while requests wait.
     specs.forEach(each => {
         for (const spec of each) {
             const value = field(spec);
@@ -101,26 +101,26 @@
 };
 
 /**
- * Lists references of a note's items that lead nowhere, digests and urls that belong to another item, and items left
- * behind whose references the note would break.
+ * Lists references of a note's items to unknown items, digests and URLs that belong to another item, and withdrawn
+ * items to which others still refer.
  *
  * @param cfg the configuration before the note
- * @param next the configuration after it
+ * @param next the configuration after the note
  */
 export function referenceFaults(cfg: Configuration, next: Configuration, note: ReleaseNote): readonly NoteFault[] {
-    const put = [note.added, note.changed];
-    const hasShares = put.some(items => items.organisations.some(spec => spec.shares !== undefined));
+    const upserted = [note.added, note.changed];
+    const hasShares = upserted.some(items => items.organisations.some(spec => spec.shares !== undefined));
     const domains = new Set<string>(
         hasShares ? [...next.endpoints.values()].map(spec => spec.failureDomain) : [],
     );
     const digests = ownersOf(
-        put.flatMap(items => items.keys.map(spec => spec.digest)),
+        upserted.flatMap(items => items.keys.map(spec => spec.digest)),
         [cfg.withdrawnKeys.values(), next.keys.values()],
         spec => spec.digest,
         spec => spec.id,
     );
     const urls = ownersOf(
-        put.flatMap(items => items.endpoints.map(spec => spec.url)),
+        upserted.flatMap(items => items.endpoints.map(spec => spec.url)),
         [next.endpoints.values()],
         spec => spec.url,
         spec => spec.name,
--- a/packages/release/src/releaseNoteSchema.ts
+++ b/packages/release/src/releaseNoteSchema.ts
@@ -2,7 +2,7 @@
 
 import { ReleaseNote } from "./ReleaseNote.js";
 
-/** Gives the JSON Schema of release notes, for editors. `scripts/generateSchemas.mjs` writes it to `schema/`. */
+/** Returns the JSON Schema of release notes, for editors. `scripts/generateSchemas.mjs` writes it to `schema/`. */
 export function releaseNoteSchema(): object {
     return {
         title: "azureshunt release note",
--- a/packages/release/src/releaseRecord.ts
+++ b/packages/release/src/releaseRecord.ts
@@ -1,6 +1,6 @@
 import type { ReleaseNote } from "./ReleaseNote.js";
 
-/** Data of the log record that carries a release note. */
+/** Returns the data of the log record of a release note. */
 export function releaseRecord(note: ReleaseNote): object {
     return { kind: "release", note };
 }
--- a/packages/release/src/schemaFaults.ts
+++ b/packages/release/src/schemaFaults.ts
@@ -33,7 +33,7 @@
     return object instanceof z.ZodObject ? Object.keys(object.shape as object).join(", ") : "no such field";
 };
 
-const bound = (issue: z.ZodTooSmallIssue | z.ZodTooBigIssue): string => {
+const boundText = (issue: z.ZodTooSmallIssue | z.ZodTooBigIssue): string => {
     const isLower = issue.code === "too_small";
     const limit = isLower ? issue.minimum : issue.maximum;
     const unit = issue.type === "string" ? " characters" : issue.type === "array" ? " entries" : "";
@@ -51,7 +51,7 @@
         return issue.options.join(", ");
     }
     if (issue.code === "too_small" || issue.code === "too_big") {
-        return bound(issue);
+        return boundText(issue);
     }
     return issue.message;
 };
@@ -69,11 +69,9 @@
 };
 
 /**
- * Lists everything in which a value differs from a schema.
+ * Lists all faults of a value against a schema.
  *
- * @param schema the schema that refused the value
- * @param value the value
- * @param error what zod found
+ * @param error result of parsing `value` with `schema`
  */
 export function schemaFaults(schema: z.ZodTypeAny, value: unknown, error: z.ZodError): readonly NoteFault[] {
     return error.issues.flatMap(issue => faultsOf(schema, value, issue));
--- a/packages/release/src/snapshotRecord.ts
+++ b/packages/release/src/snapshotRecord.ts
@@ -1,7 +1,7 @@
 import type { ConfigurationState } from "./ConfigurationState.js";
 import type { SnapshotData } from "./SnapshotData.js";
 
-/** Writes a state as data of a snapshot record. `stateOfSnapshot` reads it. */
+/** Returns a state as the data of a snapshot record, the inverse of `stateOfSnapshot`. */
 export function snapshotRecord(state: ConfigurationState): SnapshotData {
     const { configuration: cfg, offset, digest } = state;
     return {
--- a/packages/release/src/stateOfSnapshot.ts
+++ b/packages/release/src/stateOfSnapshot.ts
@@ -2,10 +2,10 @@
 import { SnapshotData } from "./SnapshotData.js";
 
 /**
- * Reads the state out of a snapshot record or a peer's answer.
+ * Parses the state from the data of a snapshot record or from a peer's answer.
  *
- * @param data what the record holds; may be anything
- * @returns undefined when it is not a whole snapshot
+ * @param data not validated
+ * @returns `undefined` if it is not a complete snapshot
  */
 export function stateOfSnapshot(data: unknown): ConfigurationState | undefined {
     const parsed = SnapshotData.safeParse(data);
--- a/packages/release/src/touchedItems.ts
+++ b/packages/release/src/touchedItems.ts
@@ -3,7 +3,7 @@
 import { itemText } from "./itemText.js";
 import type { ReleaseNote } from "./ReleaseNote.js";
 
-/** Lists what a note touches, such as `added model llama`. */
+/** Lists the changes of a note, such as `added model llama`. */
 export function touchedItems(note: ReleaseNote): readonly string[] {
     return itemKinds.flatMap(kind => [
         ...note.added[kind].map(spec => `added ${itemText(kind, itemId(spec))}`),
--- a/packages/release/src/validateNote.ts
+++ b/packages/release/src/validateNote.ts
@@ -34,10 +34,10 @@
 };
 
 /**
- * Lists every fault of a note against the configuration that it would change. A note without faults gives, by
- * `applyNote`, a configuration in which every reference leads somewhere.
+ * Lists all faults of a note against the configuration that it would change. Applying a note without faults results in
+ * a configuration without broken references.
  *
- * @param next the configuration after the note, where the caller has it already: copying large maps twice shows
+ * @param next the configuration after the note; passed by a caller that has it, as copying large maps twice is costly
  */
 export function validateNote(cfg: Configuration, note: ReleaseNote, next = applyNote(cfg, note)): readonly NoteFault[] {
     return [
