--- a/packages/request/src/decideHedge.ts
+++ b/packages/request/src/decideHedge.ts
@@ -7,7 +7,7 @@
 /** A try counts as slow once it has taken this many times its estimated time to the first token. */
 const SLOW_FACTOR = 3;
 
-/** No try counts as slow before this, because an estimate of a few milliseconds is too inaccurate to multiply. */
+/** No try counts as slow before this, because an estimate of a few milliseconds is not reliable. */
 const MIN_SLOW_MS = 400;
 
 /**
--- a/packages/request/src/heldUntil.ts
+++ b/packages/request/src/heldUntil.ts
@@ -7,7 +7,8 @@
 import type { SuspectState } from "./SuspectState.js";
 
 /**
- * Returns the time until which a request is withheld if nothing more becomes known of the deaths it was running at.
+ * Returns the time until which a request is withheld if nothing more becomes known of the endpoint deaths during which
+ * it ran.
  *
  * @returns `undefined` if it may run, and `now` if it is withheld only because of possible deaths not checked yet
  */
--- a/packages/request/src/isHeld.ts
+++ b/packages/request/src/isHeld.ts
@@ -4,7 +4,7 @@
 import type { SuspectState } from "./SuspectState.js";
 
 /**
- * Returns whether a request must not run until the cause of the deaths it was running at is known.
+ * Returns whether a request must not run until the cause of the endpoint deaths during which it ran is known.
  *
  * If a VM is late to report what it ran, the second death does not yet lead to a quarantine, and the request would
  * crash a third endpoint in the meantime. To prevent this, a possible death that has not been checked yet counts like a
