--- a/packages/daemon/src/__tests__/fakes/deadEndpoint.ts
+++ b/packages/daemon/src/__tests__/fakes/deadEndpoint.ts
@@ -1,7 +1,7 @@
 import { createServer } from "node:http";
 import type { AddressInfo } from "node:net";
 
-/** The address of an endpoint whose process is gone: nothing listens there. */
+/** Returns the URL of an endpoint whose process is gone: nothing listens there. */
 export async function deadEndpoint(): Promise<string> {
     const server = createServer();
     await new Promise<void>(resolve => server.listen(0, "127.0.0.1", resolve));
--- a/packages/daemon/src/__tests__/fakes/restartedEndpoint.ts
+++ b/packages/daemon/src/__tests__/fakes/restartedEndpoint.ts
@@ -4,7 +4,7 @@
 
 import type { ExecutionContext } from "ava";
 
-/** The address of an endpoint that is back as another run, and takes a while to say so. */
+/** Starts an endpoint that answers as another incarnation after a delay, and returns its URL. */
 export async function restartedEndpoint(t: ExecutionContext, delayMs: number): Promise<string> {
     const server = createServer((_req, res) =>
         void sleep(delayMs).then(() => res.end(JSON.stringify({ incarnation: "another run" })))
--- a/packages/daemon/src/__tests__/fakes/suspectFleet.ts
+++ b/packages/daemon/src/__tests__/fakes/suspectFleet.ts
@@ -11,20 +11,26 @@
 import { FakePeers } from "./FakePeers.js";
 import { modelCall } from "./modelCall.js";
 
-/** Patience is short, so that a test of a VM that does not answer ends soon. */
-const TIMES = { ...SUSPECT_TIMES, askAgainMs: 20, tellAgainMs: 20, toldBoundMs: 200, firstDeathWaitMs: 50 };
+/** Short times, so that a test of a VM that does not answer ends soon. */
+const TIMES = {
+    ...SUSPECT_TIMES,
+    queryAgainMs: 20,
+    sendAgainMs: 20,
+    maxAcknowledgeWaitMs: 200,
+    maxFirstDeathWaitMs: 50,
+};
 
-/** VMs that know of one another, with what remembers suspects on each. */
+/** VMs that are peers of one another, with the suspect port of each. */
 type SuspectFleet = {
     readonly peers: FakePeers;
-    /** Starts a daemon, also anew on a VM that has one. */
+    /** Starts a daemon, also on a VM that has one, as a restart. */
     readonly start: (vm: string) => void;
     readonly port: (vm: string) => SuspectPort;
-    /** A call with this text as its prompt, new each time as callers send it. */
+    /** Creates a call with this prompt; each is a request of its own. */
     readonly call: (prompt: string) => Call;
-    /** A place at a run of an engine whose process is gone by the time that the try breaks off. */
+    /** Creates a placement at an engine, whose process is gone unless `url` is given. */
     readonly place: (endpoint: string, url?: string) => Placement;
-    /** Whether the VM knows of a death that nothing explains yet. */
+    /** Whether the VM knows of a death that is not explained yet. */
     readonly knowsDeath: (vm: string) => boolean;
     /** Whether the VM would run a call with this prompt. */
     readonly mayRun: (vm: string, prompt: string) => boolean;
--- a/packages/daemon/src/__tests__/unit/conflictOf.test.ts
+++ b/packages/daemon/src/__tests__/unit/conflictOf.test.ts
@@ -12,17 +12,37 @@
 });
 const SUSPECTS = ["poison", "question"].map(name => fingerprintOf([name]));
 
-// Copies of a crashing request run at once, or two suspects meet on one endpoint, and one endpoint more goes.
+// If copies of a crashing request run at once, or two suspects run on one endpoint, one more endpoint dies.
 [
-    { name: "nothing runs", runs: [], conflict: undefined },
-    { name: "it runs elsewhere", runs: [run("poison", "engine-2")], conflict: "request-busy" },
-    { name: "it runs elsewhere and is answered", runs: [run("poison", "engine-2", true)], conflict: "request-busy" },
-    { name: "another suspect is there", runs: [run("question", "engine-1")], conflict: "endpoint-busy" },
-    { name: "another suspect is answered there", runs: [run("question", "engine-1", true)], conflict: undefined },
-    { name: "another suspect is elsewhere", runs: [run("question", "engine-2")], conflict: undefined },
-    { name: "others that are no suspects are there", runs: [run("hello", "engine-1")], conflict: undefined },
+    { name: "nothing else runs → none", runs: [], conflict: undefined },
+    { name: "it runs at another endpoint → request-busy", runs: [run("poison", "engine-2")], conflict: "request-busy" },
     {
-        name: "both",
+        name: "its answer has begun at another endpoint → request-busy",
+        runs: [run("poison", "engine-2", true)],
+        conflict: "request-busy",
+    },
+    {
+        name: "another suspect runs at the endpoint → endpoint-busy",
+        runs: [run("question", "engine-1")],
+        conflict: "endpoint-busy",
+    },
+    {
+        name: "the answer of another suspect has begun at the endpoint → none",
+        runs: [run("question", "engine-1", true)],
+        conflict: undefined,
+    },
+    {
+        name: "another suspect runs at another endpoint → none",
+        runs: [run("question", "engine-2")],
+        conflict: undefined,
+    },
+    {
+        name: "a request that is no suspect runs at the endpoint → none",
+        runs: [run("hello", "engine-1")],
+        conflict: undefined,
+    },
+    {
+        name: "it runs elsewhere and another suspect runs at the endpoint → request-busy",
         runs: [run("question", "engine-1"), run("poison", "engine-2")],
         conflict: "request-busy",
     },
--- a/packages/daemon/src/__tests__/unit/refuseSuspect.test.ts
+++ b/packages/daemon/src/__tests__/unit/refuseSuspect.test.ts
@@ -16,26 +16,32 @@
 const once = died(noSuspects, "d1", 0, true);
 const held = died(once, "d2", MINUTE_MS, false);
 
-// The caller of a held request is told to come back at once for ten minutes, or not before these are over.
+// A wrong Retry-After makes the caller of a held request retry at once for ten minutes, or wait for all of these.
 [
-    { name: "one death", state: once, at: 0, kind: undefined, retryAfterSeconds: undefined },
+    { name: "one death → not refused", state: once, at: 0, kind: undefined, retryAfterSeconds: undefined },
     {
-        name: "a second try broke off",
+        name: "a second try broke off → held",
         state: noteBreak(once, REQUEST, "d2"),
         at: 0,
         kind: "request-quarantined",
         retryAfterSeconds: 2,
     },
-    { name: "VMs are still asked", state: held, at: MINUTE_MS, kind: "request-quarantined", retryAfterSeconds: 2 },
     {
-        name: "nobody is asked any more",
+        name: "VMs are still queried → held, short Retry-After",
+        state: held,
+        at: MINUTE_MS,
+        kind: "request-quarantined",
+        retryAfterSeconds: 2,
+    },
+    {
+        name: "VMs are no longer queried → held, Retry-After at the end of the hold",
         state: held,
         at: 2 * MINUTE_MS,
         kind: "request-quarantined",
         retryAfterSeconds: 480,
     },
     {
-        name: "it is found guilty",
+        name: "it is found to be the cause → quarantined",
         state: died(once, "d2", MINUTE_MS, true),
         at: MINUTE_MS,
         kind: "request-crashes-endpoints",
--- a/packages/daemon/src/__tests__/unit/runningCalls.test.ts
+++ b/packages/daemon/src/__tests__/unit/runningCalls.test.ts
@@ -5,32 +5,50 @@
 import { createRunningCalls } from "../../suspects/createRunningCalls.js";
 
 const ENDPOINT = EndpointName.parse("engine");
-const placeAt = (run: string) => ({ endpoint: ENDPOINT, incarnation: Incarnation.parse(run) });
+const placeAt = (incarnation: string) => ({ endpoint: ENDPOINT, incarnation: Incarnation.parse(incarnation) });
 
 type Case = {
     readonly name: string;
-    /** The run that the call died with, and the run whose death is asked about. */
-    readonly run: string;
-    readonly asked: string;
+    /** The incarnation that the call was sent to, and the one whose death is queried. */
+    readonly incarnation: string;
+    readonly queried: string;
     readonly afterMs: number;
-    readonly isPresent: boolean;
+    readonly isListed: boolean;
 };
 
-// A VM that is asked late says that nothing ran there, or tells of calls that died with an earlier run of the engine.
+// A VM that is queried late must neither answer that nothing ran there, nor list calls of an earlier incarnation's death.
 const cases: readonly Case[] = [
-    { name: "asked at once", run: "run-1", asked: "run-1", afterMs: 0, isPresent: true },
-    { name: "asked long after", run: "run-1", asked: "run-1", afterMs: 20_000, isPresent: true },
-    { name: "asked when it is forgotten", run: "run-1", asked: "run-1", afterMs: 60_001, isPresent: false },
-    { name: "another run, at once", run: "run-1", asked: "run-2", afterMs: 0, isPresent: true },
-    { name: "the next run's death", run: "run-1", asked: "run-2", afterMs: 20_000, isPresent: false },
+    { name: "queried at once → listed", incarnation: "run-1", queried: "run-1", afterMs: 0, isListed: true },
+    { name: "queried 20 s later → listed", incarnation: "run-1", queried: "run-1", afterMs: 20_000, isListed: true },
+    {
+        name: "queried after expiry → not listed",
+        incarnation: "run-1",
+        queried: "run-1",
+        afterMs: 60_001,
+        isListed: false,
+    },
+    {
+        name: "death of another incarnation, at once → listed",
+        incarnation: "run-1",
+        queried: "run-2",
+        afterMs: 0,
+        isListed: true,
+    },
+    {
+        name: "death of the next incarnation, 20 s later → not listed",
+        incarnation: "run-1",
+        queried: "run-2",
+        afterMs: 20_000,
+        isListed: false,
+    },
 ];
 
-cases.forEach(({ name, run, asked, afterMs, isPresent }) =>
-    test(`running calls: present at a death, ${name}`, t => {
+cases.forEach(({ name, incarnation, queried, afterMs, isListed }) =>
+    test(`running calls: running when the endpoint died, ${name}`, t => {
         const clock = { now: 0 };
         const calls = createRunningCalls(() => clock.now);
-        calls.add({} as Call, placeAt(run)).end(true);
+        calls.add({} as Call, placeAt(incarnation)).end(true);
         clock.now = afterMs;
-        t.is(calls.presentAt(`engine/${asked}`, ENDPOINT, clock.now).length === 1, isPresent);
+        t.is(calls.runningAtDeath(`engine/${queried}`, ENDPOINT, clock.now).length === 1, isListed);
     })
 );
--- a/packages/daemon/src/__tests__/unit/suspectPort.test.ts
+++ b/packages/daemon/src/__tests__/unit/suspectPort.test.ts
@@ -6,41 +6,41 @@
 import { restartedEndpoint } from "../fakes/restartedEndpoint.js";
 import { suspectFleet } from "../fakes/suspectFleet.js";
 
-const PATIENCE_MS = 5_000;
-const LOOK_AGAIN_MS = 10;
+const MAX_WAIT_MS = 5_000;
+const RECHECK_MS = 10;
 const SLOW_ANSWER_MS = 300;
 const SLOW_MESSAGE_MS = 100;
 
-const until = async (holds: () => boolean, left = PATIENCE_MS): Promise<boolean> => {
+const until = async (holds: () => boolean, left = MAX_WAIT_MS): Promise<boolean> => {
     if (holds() || left <= 0) {
         return holds();
     }
-    await sleep(LOOK_AGAIN_MS);
-    return until(holds, left - LOOK_AGAIN_MS);
+    await sleep(RECHECK_MS);
+    return until(holds, left - RECHECK_MS);
 };
 
 type Fleet = Awaited<ReturnType<typeof suspectFleet>>;
 
-/** Runs a prompt on an engine that dies of it. */
+/** Runs a prompt on an engine that it crashes. */
 const crash = (fleet: Fleet, vm: string, prompt: string, endpoint: string, url?: string): Promise<void> =>
     fleet.port(vm).running(fleet.call(prompt), fleet.place(endpoint, url)).end("broke");
 
 const ALL = ["vm-1", "vm-2", "vm-3", "vm-4", "vm-5"];
 
-// A VM that answers late what it ran lets a crashing request go on to a third engine.
-test("suspects: a request present at two deaths is held while a VM has not answered", async t => {
+// If a VM answers late what it ran, a crashing request may meanwhile run on a third engine.
+test("suspects: a request that was running at two deaths is held while a VM has not answered", async t => {
     const fleet = await suspectFleet(t);
     fleet.peers.cut.add(VmId.parse("vm-3"));
     await crash(fleet, "vm-1", "poison", "engine-1");
     t.true(fleet.mayRun("vm-1", "poison"), "one death decides nothing");
     await crash(fleet, "vm-1", "poison", "engine-2");
     t.false(fleet.mayRun("vm-1", "poison"));
-    t.true(await until(() => !fleet.mayRun("vm-2", "poison")), "and on VMs that were told");
+    t.true(await until(() => !fleet.mayRun("vm-2", "poison")), "also on VMs that received it");
     t.true(fleet.mayRun("vm-1", "question"));
 });
 
-// Without the late answer a held request would neither be cleared nor found guilty.
-test("suspects: a VM that answers late completes the judgement", async t => {
+// Without the late answer a held request would neither be cleared nor found to be the cause.
+test("suspects: a late answer of a VM completes the checks of the deaths", async t => {
     const fleet = await suspectFleet(t);
     fleet.peers.cut.add(VmId.parse("vm-3"));
     await crash(fleet, "vm-1", "poison", "engine-1");
@@ -54,8 +54,8 @@
     t.true(await until(() => ALL.every(isQuarantined)));
 });
 
-// A first death that is judged slowly passes for none, and the second one decides nothing.
-test("suspects: a request whose second try broke off goes no further until the first death is judged too", async t => {
+// If a first death whose check is slow counts as none, the second death alone does not show the cause.
+test("suspects: a request whose second try broke off waits until the first death has been checked too", async t => {
     const fleet = await suspectFleet(t);
     const url = await restartedEndpoint(t, SLOW_ANSWER_MS);
     const first = crash(fleet, "vm-1", "poison", "engine-1", url);
@@ -64,21 +64,21 @@
     await first;
 });
 
-// A VM that misses the one telling of a quarantine runs the request on one more endpoint.
-test("suspects: a VM that was told in vain is told again", async t => {
+// A VM that misses the message about a quarantine runs the request on one more endpoint.
+test("suspects: a lost message about a quarantine is resent", async t => {
     const fleet = await suspectFleet(t);
     fleet.peers.loses = (to, kind, body) => to === "vm-3" && (kind === "quarantine" || "gathered" in body);
     await crash(fleet, "vm-1", "poison", "engine-1");
     await crash(fleet, "vm-1", "poison", "engine-2");
     t.false(fleet.mayRun("vm-2", "poison"));
     t.true(fleet.mayRun("vm-3", "poison"), "nothing reached it");
-    // What vm-3 itself asks after its start goes on being lost.
+    // Queries that vm-3 itself sends after its start stay lost.
     fleet.peers.loses = (to, kind) => to !== "vm-3" && kind === "quarantine";
     t.true(await until(() => !fleet.mayRun("vm-3", "poison")));
 });
 
-// The caller of a refused request turns to a VM that is still being told of the quarantine.
-test("suspects: a crashing request is refused once the other VMs know", async t => {
+// The caller of a refused request may turn to a VM that has not received the quarantine yet.
+test("suspects: a crashing request is refused only after the other VMs have received the quarantine", async t => {
     const fleet = await suspectFleet(t);
     fleet.peers.delayMs = SLOW_MESSAGE_MS;
     await crash(fleet, "vm-1", "poison", "engine-1");
@@ -86,7 +86,7 @@
     t.deepEqual(ALL.filter(vm => fleet.mayRun(vm, "poison")), []);
 });
 
-// Copies of a crashing request run at once, and each brings down an engine before the first death is noticed.
+// If copies of a crashing request run at once, each crashes an engine before the first death is noticed.
 test("suspects: of two VMs that run the same suspect at once, one waits", async t => {
     const fleet = await suspectFleet(t);
     await crash(fleet, "vm-1", "poison", "engine-1");
@@ -97,8 +97,8 @@
     t.deepEqual(admissions, ["request-busy", "admitted"]);
 });
 
-// Two suspects meet on one engine again, and its death does not tell which of them is at fault.
-test("suspects: a suspect does not go where another one has not been answered yet", async t => {
+// If two suspects run on one engine again, its death does not show which of them is the cause.
+test("suspects: a suspect is not admitted to an endpoint where the answer of another one has not begun", async t => {
     const fleet = await suspectFleet(t);
     const died = ["poison", "question"].map((prompt, i) => crash(fleet, `vm-${i + 1}`, prompt, "engine-1"));
     await Promise.all(died);
@@ -113,7 +113,7 @@
     t.is(await port("vm-2").admit(question, place("engine-2")), "admitted");
 });
 
-// A VM that no news has reached runs a request that has crashed two engines as if for the first time.
+// A VM that has received no message would run a request that has crashed two engines as if for the first time.
 test("suspects: a VM learns from others of a request's deaths before it runs it again", async t => {
     const fleet = await suspectFleet(t);
     fleet.peers.loses = (_to, kind, body) => kind === "quarantine" || "gathered" in body;
@@ -125,16 +125,16 @@
     t.false(fleet.mayRun("vm-2", "poison"));
 });
 
-// A cut-off failure domain must go on serving the innocent that were present at a death.
-test("suspects: VMs that cannot be reached do not keep a suspect from running", async t => {
+// A failure domain that is cut off must continue to serve unrelated requests that were running when an endpoint died.
+test("suspects: a suspect is admitted although other VMs are unreachable", async t => {
     const fleet = await suspectFleet(t);
     ALL.slice(1).forEach(vm => fleet.peers.cut.add(VmId.parse(vm)));
     await crash(fleet, "vm-1", "question", "engine-1");
     t.is(await fleet.port("vm-1").admit(fleet.call("question"), fleet.place("engine-2")), "admitted");
 });
 
-// A restarted VM has forgotten the deaths, and runs a held request as if for the first time.
-test("suspects: a VM that is started learns which requests are held", async t => {
+// A restarted VM has lost the deaths, and would run a held request as if for the first time.
+test("suspects: a VM learns after its start which requests are held", async t => {
     const fleet = await suspectFleet(t);
     fleet.peers.cut.add(VmId.parse("vm-5"));
     await crash(fleet, "vm-1", "poison", "engine-1");
--- a/packages/daemon/src/suspects/DeathMessage.ts
+++ b/packages/daemon/src/suspects/DeathMessage.ts
@@ -2,7 +2,7 @@
 import { RequestFingerprint } from "@azureshunt/request";
 import { z } from "zod";
 
-/** A death as VMs tell it to one another; see `EndpointDeath` in `peers.proto`. */
+/** A death of an endpoint as VMs exchange it: `EndpointDeath` of `peers.proto`. */
 const DeathMessage = z.object({
     id: z.string(),
     endpoint: EndpointName,
--- a/packages/daemon/src/suspects/QuarantineMessage.ts
+++ b/packages/daemon/src/suspects/QuarantineMessage.ts
@@ -3,7 +3,7 @@
 
 import { DeathMessage } from "./DeathMessage.js";
 
-/** Requests that are stopped, as VMs tell them to one another; an answer also holds the deaths not explained. */
+/** Quarantined requests as VMs exchange them; an answer also lists the deaths that are not explained yet. */
 const QuarantineMessage = z.object({
     requests: z.array(z.object({ fingerprint: RequestFingerprint, remainingMs: z.coerce.number() })).default([]),
     deaths: z.array(DeathMessage).default([]),
--- a/packages/daemon/src/suspects/RunningCalls.ts
+++ b/packages/daemon/src/suspects/RunningCalls.ts
@@ -11,20 +11,19 @@
     readonly isAnswering: boolean;
 };
 
-/** Tells how a running call goes on. */
+/** Reports the progress of a running call. */
 type RunningCallHandle = {
-    readonly answering: () => void;
-    /** Takes the call off; one that died is remembered for a while. */
+    /** To be called when the endpoint has begun its answer. */
+    readonly answerStarted: () => void;
+    /** Ends the call; one whose endpoint may have died is kept for a while, for `runningAtDeath`. */
     readonly end: (died: boolean) => void;
 };
 
-/** Calls that this daemon runs at endpoints, and those that ended with an endpoint's death. */
+/** Calls that this daemon runs at endpoints, and recent ones that ended when their endpoint may have died. */
 export type RunningCalls = {
     readonly add: (call: Call, place: Pick<Placement, "endpoint" | "incarnation">) => RunningCallHandle;
-    /** Calls that run now. */
-    readonly now: () => readonly RunningCall[];
-    /** Calls that run at an endpoint now. */
+    readonly all: () => readonly RunningCall[];
     readonly at: (endpoint: EndpointName) => readonly Call[];
-    /** Calls that run at an endpoint, or were there when it died. */
-    readonly presentAt: (death: string, endpoint: EndpointName, now: Millis) => readonly Call[];
+    /** Calls that run at an endpoint, or were running there when it died. */
+    readonly runningAtDeath: (deathId: string, endpoint: EndpointName, now: Millis) => readonly Call[];
 };
--- a/packages/daemon/src/suspects/SUSPECT_TIMES.ts
+++ b/packages/daemon/src/suspects/SUSPECT_TIMES.ts
@@ -1,22 +1,28 @@
-/** Bounds of what VMs ask and tell one another about endpoints that died, in milliseconds. */
+/** Timeouts and intervals of the messages between VMs about endpoints that died, in milliseconds. */
 const SUSPECT_TIMES = {
-    /** For a VM to say what it ran on an endpoint. */
-    askBoundMs: 2_000,
-    /** Between two askings of a VM that has not answered, and for how long it is asked. */
-    askAgainMs: 500,
-    askForMs: 30_000,
-    /** For a VM to take in what it is told, and until one that has not is told again. */
-    tellBoundMs: 1_000,
-    tellAgainMs: 250,
-    tellForMs: 60_000,
-    /** For all VMs to be told before a request that crashes endpoints is refused, as its caller may turn to any of them. */
-    toldBoundMs: 2_000,
-    /** For the judgement of a first death; the request then goes on as a suspect. */
-    firstDeathWaitMs: 300,
-    /** For the endpoint of a broken try to show whether it has died, before the request runs again. */
-    probedBoundMs: 2_000,
-    /** For a VM to say whether a suspect may run beside what it runs. */
-    admitBoundMs: 1_000,
+    /** Timeout of one query to a VM for what it ran on an endpoint. */
+    queryTimeoutMs: 2_000,
+    /** Delay before a VM that has not answered is queried again, and the time after which it no longer is. */
+    queryAgainMs: 500,
+    queryForMs: 30_000,
+    /**
+     * Timeout of one message to a VM, the delay before it is resent to a VM that has not acknowledged it, and the time after
+     * which it is no longer resent.
+     */
+    sendTimeoutMs: 1_000,
+    sendAgainMs: 250,
+    sendForMs: 60_000,
+    /**
+     * Longest wait for all VMs to acknowledge a quarantine before its request is refused, as the caller may turn to any of
+     * them.
+     */
+    maxAcknowledgeWaitMs: 2_000,
+    /** Longest wait for the check of a first death; the request then continues as a suspect. */
+    maxFirstDeathWaitMs: 300,
+    /** Longest wait for the probe of a broken try's endpoint before the request runs again. */
+    maxProbeWaitMs: 2_000,
+    /** Timeout of one query to a VM for whether a suspect may run beside what that VM runs. */
+    admitTimeoutMs: 1_000,
 } as const;
 
 export { SUSPECT_TIMES };
--- a/packages/daemon/src/suspects/SuspectAggregate.ts
+++ b/packages/daemon/src/suspects/SuspectAggregate.ts
@@ -2,10 +2,10 @@
 
 import type { SuspectEvent } from "./SuspectEvent.js";
 
-/** What is known of suspects, as the parts of this folder read and change it. */
+/** The state of suspects that the parts of this folder read and change. */
 export type SuspectAggregate = {
     readonly state: () => SuspectState;
-    /** Settles when the event has been taken in. */
-    readonly tell: (event: SuspectEvent) => Promise<void>;
+    /** Settles when the event has been applied. */
+    readonly apply: (event: SuspectEvent) => Promise<void>;
     readonly stop: () => void;
 };
--- a/packages/daemon/src/suspects/SuspectRun.ts
+++ b/packages/daemon/src/suspects/SuspectRun.ts
@@ -5,6 +5,6 @@
 export type SuspectRun = {
     readonly request: RequestFingerprint;
     readonly endpoint: EndpointName;
-    /** Whether the endpoint has begun its answer, so that the request has not brought it down. */
+    /** Whether the endpoint has begun its answer; such a request is not what crashes it. */
     readonly isAnswering: boolean;
 };
--- a/packages/daemon/src/suspects/conflictOf.ts
+++ b/packages/daemon/src/suspects/conflictOf.ts
@@ -3,10 +3,11 @@
 import type { SuspectRun } from "./SuspectRun.js";
 
 /**
- * What stands against a run of a suspect beside other runs; undefined for nothing.
+ * Returns why a suspect may not run beside other runs; undefined if it may.
  *
- * Failures guarded against: copies of a crashing request run at once, each on an endpoint of its own, before the first one's
- * death is noticed; two suspects meet on one endpoint again, and its death does not tell which of them is at fault.
+ * Without the first check, copies of a crashing request run at once, each on an endpoint of its own, and crash them all
+ * before the first death is noticed. Without the second, two suspects run on one endpoint again, and its death does not
+ * show which of them is the cause.
  */
 export function conflictOf(
     runs: readonly SuspectRun[],
--- a/packages/daemon/src/suspects/createSuspectPort.ts
+++ b/packages/daemon/src/suspects/createSuspectPort.ts
@@ -9,11 +9,11 @@
 import type { SuspectPort } from "../ports/SuspectPort.js";
 import type { SuspectRunEnd } from "../ports/SuspectRunEnd.js";
 import { createAdmission } from "./createAdmission.js";
-import { createDeathJudge } from "./createDeathJudge.js";
+import { createDeathChecker } from "./createDeathChecker.js";
+import { createReliableSender } from "./createReliableSender.js";
 import { createRunningCalls } from "./createRunningCalls.js";
-import { createTeller } from "./createTeller.js";
 import { deathIdOf } from "./deathIdOf.js";
-import { fingerprintModel } from "./fingerprintModel.js";
+import { fingerprintCall } from "./fingerprintCall.js";
 import { handleSuspectMessages } from "./handleSuspectMessages.js";
 import { learnQuarantines } from "./learnQuarantines.js";
 import { refuseSuspect } from "./refuseSuspect.js";
@@ -22,7 +22,7 @@
 import type { SuspectTimes } from "./SuspectTimes.js";
 import { waitAtMost } from "./waitAtMost.js";
 
-/** Starts what remembers requests that were running on endpoints when these died, on this and all other VMs. */
+/** Starts the part that keeps track of requests that were running on endpoints when these died, on this and other VMs. */
 export function createSuspectPort(
     ctx: DaemonContext,
     times: SuspectTimes = SUSPECT_TIMES,
@@ -30,41 +30,45 @@
     const { clock, metrics } = ctx;
     const logger = ctx.logger("suspects");
     const calls = createRunningCalls(clock.now);
-    const teller = createTeller(ctx, times);
+    const sender = createReliableSender(ctx, times);
 
-    const stopRequest = ({ request, until }: SuspectEffect): void => {
-        logger.warn({ fingerprint: request }, "A request crashes endpoints and is stopped.");
+    const sendQuarantine = ({ request, until }: SuspectEffect): void => {
+        logger.warn({ fingerprint: request }, "Quarantined a request that crashes endpoints.");
         metrics.count("azureshunt_quarantines_total", "Requests stopped because they crash endpoints.");
-        const told = () => ({ fingerprint: request, remainingMs: Math.ceil(until - clock.now()) });
-        teller.tell("quarantine", () => ({ requests: [told()] }));
+        const quarantined = () => ({ fingerprint: request, remainingMs: Math.ceil(until - clock.now()) });
+        sender.send("quarantine", () => ({ requests: [quarantined()] }));
     };
-    const suspects = startSuspectAggregate(ctx.system, clock, stopRequest);
+    const suspects = startSuspectAggregate(ctx.system, clock, sendQuarantine);
     const { state } = suspects;
-    const judge = createDeathJudge({ ctx, calls, suspects, times, tellPeers: teller.tell });
-    const admission = createAdmission({ ctx, calls, suspects, times, probed: judge.probed });
+    const deathChecker = createDeathChecker({ ctx, calls, suspects, times, sendToPeers: sender.send });
+    const admission = createAdmission({ ctx, calls, suspects, times, waitForProbes: deathChecker.waitForProbes });
 
     /**
-     * A request that was present at one death goes on soon even if some VM is slow to say what it ran. One that was present
-     * at two goes no further until both are judged: it may be the cause, and would bring down a third endpoint.
+     * Waits for the check of the endpoint's death. A request that was running at one death continues soon, even if a VM is
+     * slow to answer what it ran. One that was running at two waits until both are checked: it may be the cause, and would
+     * crash a third endpoint.
      */
-    const waitForJudgement = async (call: Call, placement: Placement): Promise<void> => {
-        const request = fingerprintModel(call);
-        await suspects.tell({ kind: "broke", request, death: deathIdOf(placement) });
-        const judgement = judge.judge(placement);
+    const waitForDeathCheck = async (call: Call, placement: Placement): Promise<void> => {
+        const request = fingerprintCall(call);
+        await suspects.apply({ kind: "broke", request, death: deathIdOf(placement) });
+        const checked = deathChecker.checkDeath(placement);
         if (isHeld(state(), request)) {
-            logger.info({ fingerprint: request, call: call.id }, "A request waits until endpoints' deaths are judged.");
-            await Promise.all([judgement, judge.judged(request)]);
-            await teller.told();
+            logger.info(
+                { fingerprint: request, call: call.id },
+                "A request waits until the deaths of its endpoints have been checked.",
+            );
+            await Promise.all([checked, deathChecker.waitForChecks(request)]);
+            await sender.allAcknowledged();
         }
         else {
-            await waitAtMost(judgement, times.firstDeathWaitMs);
+            await waitAtMost(checked, times.maxFirstDeathWaitMs);
         }
     };
 
     const clear = (request: RequestFingerprint): void => {
         if (deathsOf(state(), request).length > 0) {
-            void suspects.tell({ kind: "cleared", request });
-            teller.tell("suspectCleared", () => ({ fingerprint: request }));
+            void suspects.apply({ kind: "cleared", request });
+            sender.send("suspectCleared", () => ({ fingerprint: request }));
         }
     };
 
@@ -74,8 +78,8 @@
         );
 
     const check: SuspectPort["check"] = call => {
-        const isNobodyStopped = state().quarantined.size === 0 && !hasSuspects(state());
-        const refusal = isNobodyStopped ? undefined : refuseSuspect(state(), fingerprintModel(call), clock.now());
+        const isNothingKnown = state().quarantined.size === 0 && !hasSuspects(state());
+        const refusal = isNothingKnown ? undefined : refuseSuspect(state(), fingerprintCall(call), clock.now());
         return refusal === undefined ? Right(call) : Left(refusal);
     };
 
@@ -83,32 +87,32 @@
         if (!hasSuspects(state())) {
             return true;
         }
-        const request = fingerprintModel(call);
-        const beside = calls.at(endpoint).map(fingerprintModel);
+        const request = fingerprintCall(call);
+        const beside = calls.at(endpoint).map(fingerprintCall);
         return mayShareEndpoint(state(), request, beside)
             && isSpreadTo(state(), request, endpoint, modelEndpoints(), clock.now());
     };
 
     const running: SuspectPort["running"] = (call, placement) => {
         const run = calls.add(call, placement);
-        admission.began(placement.dispatchId);
+        admission.runStarted(placement.dispatchId);
         const end = async (ended: SuspectRunEnd): Promise<void> => {
             run.end(ended === "broke" || ended === "silent");
             if (ended === "broke") {
-                await waitForJudgement(call, placement);
+                await waitForDeathCheck(call, placement);
             }
             if (ended === "silent") {
-                await waitAtMost(judge.judge(placement), times.firstDeathWaitMs);
+                await waitAtMost(deathChecker.checkDeath(placement), times.maxFirstDeathWaitMs);
             }
             if (ended === "complete" && hasSuspects(state())) {
-                clear(fingerprintModel(call));
+                clear(fingerprintCall(call));
             }
         };
-        return { answering: run.answering, end };
+        return { answering: run.answerStarted, end };
     };
 
-    const endMessages = handleSuspectMessages(ctx, calls, suspects);
-    const endLearning = learnQuarantines(ctx, suspects);
+    const removeHandlers = handleSuspectMessages(ctx, calls, suspects);
+    const stopLearning = learnQuarantines(ctx, suspects);
     const removeGauges = [
         metrics.gauge(
             "azureshunt_quarantined_requests",
@@ -127,11 +131,11 @@
         admit: admission.admit,
         running,
         stop: () => {
-            endMessages();
-            endLearning();
+            removeHandlers();
+            stopLearning();
             admission.stop();
-            judge.stop();
-            teller.stop();
+            deathChecker.stop();
+            sender.stop();
             removeGauges.forEach(remove => remove());
             suspects.stop();
         },
--- a/packages/daemon/src/suspects/gatherDeath.ts
+++ b/packages/daemon/src/suspects/gatherDeath.ts
@@ -4,31 +4,32 @@
 
 import type { DaemonContext } from "../ports/DaemonContext.js";
 
-const Answer = z.object({ running: z.array(RequestFingerprint).default([]) });
+const AnswerBody = z.object({ running: z.array(RequestFingerprint).default([]) });
 
-/** What VMs were asked about a death. */
-type DeathQuestion = {
+/** A query of VMs about a death. */
+type DeathQuery = {
     readonly id: string;
     readonly endpoint: EndpointName;
     readonly vms: readonly VmId[];
-    readonly boundMs: number;
+    /** For the answer of each VM. */
+    readonly timeoutMs: number;
 };
 
-/** What those that answered ran there, and who did not answer. */
+/** What the VMs that answered ran there, and which VMs did not answer. */
 type DeathAnswers = {
     readonly running: readonly RequestFingerprint[];
-    readonly unheard: readonly VmId[];
+    readonly silent: readonly VmId[];
 };
 
-/** Asks VMs what they ran on an endpoint when it died. */
-export async function gatherDeath(ctx: DaemonContext, question: DeathQuestion): Promise<DeathAnswers> {
-    const { id, endpoint, vms, boundMs } = question;
+/** Queries VMs for what they ran on an endpoint when it died. */
+export async function gatherDeath(ctx: DaemonContext, query: DeathQuery): Promise<DeathAnswers> {
+    const { id, endpoint, vms, timeoutMs } = query;
     const answers = await Promise.all(vms.map(async vm => {
-        const answer = await ctx.peers.exchange(vm, "endpointDeath", { id, endpoint }, boundMs);
-        return { vm, running: answer.map(body => Answer.parse(body).running) };
+        const answer = await ctx.peers.exchange(vm, "endpointDeath", { id, endpoint }, timeoutMs);
+        return { vm, running: answer.map(body => AnswerBody.parse(body).running) };
     }));
     return {
         running: answers.flatMap(({ running }) => running.orDefault([])),
-        unheard: answers.filter(({ running }) => running.isLeft()).map(({ vm }) => vm),
+        silent: answers.filter(({ running }) => running.isLeft()).map(({ vm }) => vm),
     };
 }
--- a/packages/daemon/src/suspects/handleSuspectMessages.ts
+++ b/packages/daemon/src/suspects/handleSuspectMessages.ts
@@ -2,18 +2,22 @@
 import { z } from "zod";
 
 import type { DaemonContext } from "../ports/DaemonContext.js";
+import { applyDeath } from "./applyDeath.js";
+import { applyQuarantine } from "./applyQuarantine.js";
 import { DeathMessage } from "./DeathMessage.js";
-import { deathRow } from "./deathRow.js";
-import { fingerprintModel } from "./fingerprintModel.js";
+import { deathMessageOf } from "./deathMessageOf.js";
+import { fingerprintCall } from "./fingerprintCall.js";
 import { QuarantineMessage } from "./QuarantineMessage.js";
 import type { RunningCalls } from "./RunningCalls.js";
 import type { SuspectAggregate } from "./SuspectAggregate.js";
-import { takeDeath } from "./takeDeath.js";
-import { takeQuarantine } from "./takeQuarantine.js";
 
-const Cleared = z.object({ fingerprint: RequestFingerprint });
+const ClearedBody = z.object({ fingerprint: RequestFingerprint });
 
-/** Answers what other VMs tell and ask of suspects; returns the function that ends it. */
+/**
+ * Handles messages of other VMs about suspects.
+ *
+ * @returns a function that removes the handlers
+ */
 export function handleSuspectMessages(
     ctx: DaemonContext,
     calls: RunningCalls,
@@ -23,20 +27,20 @@
     const onDeath = async (body: object): Promise<object> => {
         const death = DeathMessage.parse(body);
         if (death.gathered) {
-            await takeDeath(suspects, clock, death);
+            await applyDeath(suspects, clock, death);
         }
-        return { running: calls.presentAt(death.id, death.endpoint, clock.now()).map(fingerprintModel) };
+        return { running: calls.runningAtDeath(death.id, death.endpoint, clock.now()).map(fingerprintCall) };
     };
     const onQuarantine = async (body: object): Promise<object> => {
-        await takeQuarantine(suspects, clock, QuarantineMessage.parse(body));
+        await applyQuarantine(suspects, clock, QuarantineMessage.parse(body));
         const requests = [...suspects.state().quarantined]
             .map(([fingerprint, until]) => ({ fingerprint, remainingMs: Math.ceil(until - clock.now()) }))
             .filter(({ remainingMs }) => remainingMs > 0);
-        const deaths = suspectedDeaths(suspects.state()).map(deathRow);
+        const deaths = suspectedDeaths(suspects.state()).map(deathMessageOf);
         return { requests, deaths };
     };
     const onCleared = async (body: object): Promise<object> => {
-        await suspects.tell({ kind: "cleared", request: Cleared.parse(body).fingerprint });
+        await suspects.apply({ kind: "cleared", request: ClearedBody.parse(body).fingerprint });
         return {};
     };
     const removals = [
--- a/packages/daemon/src/suspects/hasDied.ts
+++ b/packages/daemon/src/suspects/hasDied.ts
@@ -4,9 +4,9 @@
 import { request } from "undici";
 import { z } from "zod";
 
-/** Bounds of asking an engine whether it lives. */
+/** Timeouts and intervals of probing an engine. */
 type ProbeBounds = ProbePace & {
-    /** For one answer. */
+    /** Timeout of one probe. */
     readonly answerMs: Millis;
 };
 
@@ -16,7 +16,7 @@
 
 const codeOf = (err: unknown): unknown => err instanceof Error && "code" in err ? err.code : undefined;
 
-/** Nothing listens at the address any more. */
+/** Error of a connection to an address where nothing listens. */
 const REFUSED = "ECONNREFUSED";
 
 const probe = async (url: string, incarnation: Incarnation | undefined, answerMs: number): Promise<Probe> => {
@@ -32,12 +32,13 @@
 };
 
 /**
- * Finds out whether a model engine's process is gone, after a connection to it broke.
+ * Returns whether a model engine's process is gone, after a connection to it broke.
  *
- * Failure: something between this VM and the engine cuts connections, and requests that merely lost theirs come under
- * suspicion. Guard: only an engine whose port refuses connections, or that is back as another run, has died.
+ * If something between this VM and the engine cuts connections, requests that merely lost their connection would become
+ * suspects. To prevent this, only an engine whose port refuses connections, or that answers as another incarnation, counts
+ * as dead.
  *
- * @param incarnation the run that the broken connection belonged to
+ * @param incarnation the incarnation that the broken connection belonged to
  */
 export function hasDied(
     url: string,
--- a/packages/daemon/src/suspects/refuseSuspect.ts
+++ b/packages/daemon/src/suspects/refuseSuspect.ts
@@ -7,20 +7,20 @@
 
 const MILLIS_PER_SECOND = 1_000;
 
-/** Retry-After while VMs are still asked what they ran. */
-const JUDGED_IN_SECONDS = 2;
+/** Retry-After while VMs are still queried for what they ran. */
+const QUERIED_RETRY_AFTER_SECONDS = 2;
 
 const secondsUntil = (until: Millis, now: Millis): number => Math.ceil((until - now) / MILLIS_PER_SECOND);
 
 const heldRefusal = (state: SuspectState, request: RequestFingerprint, until: Millis, now: Millis): Refusal => {
     const newest = deathsOf(state, request).at(-1);
-    const isAsked = newest === undefined || newest.at + SUSPECT_TIMES.askForMs > now;
+    const isQueried = newest === undefined || newest.at + SUSPECT_TIMES.queryForMs > now;
     return refusalOf("request-quarantined", "It ran on endpoints that died; the cause is not known yet.", {
-        retryAfterSeconds: isAsked ? JUDGED_IN_SECONDS : secondsUntil(until, now),
+        retryAfterSeconds: isQueried ? QUERIED_RETRY_AFTER_SECONDS : secondsUntil(until, now),
     });
 };
 
-/** The refusal of a request that crashes endpoints or may be found to; undefined where it may run. */
+/** Returns the refusal of a request that crashes endpoints, or is held as it may do so; undefined if it may run. */
 export function refuseSuspect(state: SuspectState, request: RequestFingerprint, now: Millis): Refusal | undefined {
     const until = quarantinedUntil(state, request, now);
     if (until !== undefined) {
--- a/packages/daemon/src/suspects/startSuspectAggregate.ts
+++ b/packages/daemon/src/suspects/startSuspectAggregate.ts
@@ -7,8 +7,8 @@
 import type { SuspectAggregate } from "./SuspectAggregate.js";
 import type { SuspectEvent } from "./SuspectEvent.js";
 
-type Message = { readonly event: SuspectEvent; readonly noted: () => void; };
-type Effect = SuspectEffect | { readonly kind: "noted"; readonly noted: () => void; };
+type Message = { readonly event: SuspectEvent; readonly onApplied: () => void; };
+type Effect = SuspectEffect | { readonly kind: "applied"; readonly onApplied: () => void; };
 
 const reduceEvent = (state: SuspectState, event: SuspectEvent, now: Millis): Step<SuspectState, SuspectEffect> => {
     switch (event.kind) {
@@ -27,22 +27,22 @@
     }
 };
 
-const reduce = (state: SuspectState, { event, noted }: Message, now: Millis): Step<SuspectState, Effect> => {
+const reduce = (state: SuspectState, { event, onApplied }: Message, now: Millis): Step<SuspectState, Effect> => {
     const step = reduceEvent(state, event, now);
-    return { state: step.state, effects: [...step.effects, { kind: "noted", noted }] };
+    return { state: step.state, effects: [...step.effects, { kind: "applied", onApplied }] };
 };
 
 /**
- * Starts the actor that keeps what is known of suspects.
+ * Starts the actor that keeps the state of suspects.
  *
- * @param onQuarantine told when deaths gathered here show that a request crashes endpoints
+ * @param onQuarantine called when deaths gathered by this VM show that a request crashes endpoints
  */
 export function startSuspectAggregate(
     system: ActorSystemRef,
     clock: Clock,
     onQuarantine: (effect: SuspectEffect) => void,
 ): SuspectAggregate {
-    const perform = (effect: Effect): void => effect.kind === "noted" ? effect.noted() : onQuarantine(effect);
+    const perform = (effect: Effect): void => effect.kind === "applied" ? effect.onApplied() : onQuarantine(effect);
     const { tell, state, stop } = spawnAggregate<SuspectState, Message, Effect>(system, {
         name: "suspects",
         initial: noSuspects,
@@ -50,5 +50,5 @@
         reduce,
         perform,
     });
-    return { state, stop, tell: event => new Promise<void>(noted => tell({ event, noted })) };
+    return { state, stop, apply: event => new Promise<void>(onApplied => tell({ event, onApplied })) };
 }
--- a/packages/daemon/src/suspects/waitAtMost.ts
+++ b/packages/daemon/src/suspects/waitAtMost.ts
@@ -2,7 +2,7 @@
 
 import type { Millis } from "@azureshunt/core";
 
-/** Waits until something has settled, but no longer than a bound; neither keeps the process from ending. */
-export async function waitAtMost(settled: Promise<unknown>, boundMs: Millis): Promise<void> {
-    await Promise.race([settled, sleep(boundMs, undefined, { ref: false })]);
+/** Waits until a promise has resolved, but no longer than a timeout. The timer does not keep the process alive. */
+export async function waitAtMost(promise: Promise<unknown>, timeoutMs: Millis): Promise<void> {
+    await Promise.race([promise, sleep(timeoutMs, undefined, { ref: false })]);
 }
