--- a/packages/daemon/src/__tests__/unit/allowanceStore.test.ts
+++ b/packages/daemon/src/__tests__/unit/allowanceStore.test.ts
@@ -18,11 +18,13 @@
 const HOME = VmId.parse("home");
 const NEED = 100;
 const ANSWER_MS = 60;
-/** Later than a request waits, and before the grant in the answer is over. */
-const AFTER_MS = 1_000;
-const PATIENCE_MS = 30_000;
+/** After the time that a request waits for an answer, and before the grant in the answer expires. */
+const LATE_MS = 1_000;
+const MAX_WAIT_MS = 30_000;
 
-/** A home on a thread of its own, so that it answers while this one is busy; it says when it was asked and has answered. */
+/**
+ * A home on its own thread, so that it answers while this one is busy; it signals that it was asked and has answered.
+ */
 const HOME_PROGRAM = `
     const { createServer } = require("node:http");
     const { parentPort, workerData } = require("node:worker_threads");
@@ -53,8 +55,8 @@
     unmet: 0,
 });
 
-// A VM that was busy refuses a request for its home's silence, though the home's answer has come meanwhile.
-test("allowances: an answer that has arrived counts before the time for it is over", async t => {
+// A VM that was busy must not refuse a request because its home is silent if the home's answer has arrived meanwhile.
+test("allowances: an answer that has arrived is applied before its timeout", async t => {
     const answered = new Int32Array(new SharedArrayBuffer(4));
     const time = { now: 0 };
     const worker = new Worker(HOME_PROGRAM, { eval: true, workerData: answered });
@@ -79,9 +81,9 @@
         }
         const answer = grant(message.ask.seq);
         const req = get({ port, host: "127.0.0.1", agent: false }, res => {
-            res.resume().once("end", () => store.tell(entry, { kind: "answer", from: HOME, answer }));
+            res.resume().once("end", () => store.apply(entry, { kind: "answer", from: HOME, answer }));
         });
-        // Asks that are under way at the end go with the home.
+        // Asks that are in flight at the end of the test fail when the home stops.
         req.on("error", () => undefined);
     };
     const entry = store.open(ORGANISATION)!;
@@ -92,12 +94,12 @@
         )
     );
     const asked = once(worker, "message");
-    store.tell(entry, { kind: "reserve", id: 1, tokens: NEED, deadline: Infinity });
+    store.apply(entry, { kind: "reserve", id: 1, tokens: NEED, deadline: Infinity });
     await asked;
-    // From here timers come before what has arrived.
+    // From here on, timers run before messages that have arrived.
     await new Promise(resolve => setImmediate(resolve));
     setTimeout(store.tick, 1);
-    Atomics.wait(answered, 0, 0, PATIENCE_MS);
-    time.now = AFTER_MS;
+    Atomics.wait(answered, 0, 0, MAX_WAIT_MS);
+    time.now = LATE_MS;
     t.is(await decided, "admitted");
 });
--- a/packages/daemon/src/__tests__/unit/hasDied.test.ts
+++ b/packages/daemon/src/__tests__/unit/hasDied.test.ts
@@ -51,7 +51,8 @@
     });
 });
 
-// If one probe without an answer, by a dying engine or on a busy VM, counted as alive, the request would run on a third engine.
+// If one probe without an answer, by a dying engine or on a busy VM, counted as alive, the request would run on a third
+// engine.
 [
     { name: "it does not answer in time, then nothing listens", answers: undefined, expected: true },
     { name: "it does not answer in time, then answers as the same incarnation", answers: RUN, expected: false },
--- a/packages/daemon/src/__tests__/unit/runningCalls.test.ts
+++ b/packages/daemon/src/__tests__/unit/runningCalls.test.ts
@@ -16,7 +16,8 @@
     readonly isListed: boolean;
 };
 
-// A VM that is queried late must neither answer that nothing ran there, nor list calls of an earlier incarnation's death.
+// A VM that is queried late must neither answer that nothing ran there, nor list calls of an earlier incarnation's
+// death.
 const cases: readonly Case[] = [
     { name: "queried at once → listed", incarnation: "run-1", queried: "run-1", afterMs: 0, isListed: true },
     { name: "queried 20 s later → listed", incarnation: "run-1", queried: "run-1", afterMs: 20_000, isListed: true },
--- a/packages/daemon/src/allowance/AllowanceMessage.ts
+++ b/packages/daemon/src/allowance/AllowanceMessage.ts
@@ -1,7 +1,7 @@
 import type { GrantAsk } from "@azureshunt/allowance";
 import type { Millis, OrganisationId, VmId } from "@azureshunt/core";
 
-/** What the actor of the allowances sends to other daemons. */
+/** Message that the allowance actor sends to another daemon. */
 export type AllowanceMessage =
     | { readonly kind: "ask"; readonly organisation: OrganisationId; readonly to: VmId; readonly ask: GrantAsk; }
     | {
@@ -10,4 +10,4 @@
         readonly to: VmId;
         readonly waitedMs: Millis;
     }
-    | { readonly kind: "ask-hand-over"; readonly of: VmId; readonly joinedAt: number; };
+    | { readonly kind: "request-hand-over"; readonly from: VmId; readonly joinedAt: number; };
--- a/packages/daemon/src/allowance/AskAnswerBody.ts
+++ b/packages/daemon/src/allowance/AskAnswerBody.ts
@@ -1,7 +1,7 @@
 import { Incarnation } from "@azureshunt/core";
 import { z } from "zod";
 
-/** The message `AllowanceAskAnswer` of `peers.proto`; one that declined holds nothing else. */
+/** The message `AllowanceAskAnswer` of `peers.proto`. A declining answer sets no other field, and does not parse. */
 const AskAnswerBody = z.object({
     declined: z.literal(false),
     seq: z.number(),
--- a/packages/daemon/src/allowance/HandedBody.ts
+++ b/packages/daemon/src/allowance/HandedBody.ts
@@ -1,7 +1,7 @@
 import { OrganisationId } from "@azureshunt/core";
 import { z } from "zod";
 
-/** What a former home hands over: `HandOverAnswer` and `HandOverPush` of `peers.proto`. */
+/** Buckets that a former home hands over: `HandOverAnswer` and `HandOverPush` of `peers.proto`. */
 const HandedBody = z.object({
     ageMs: z.number(),
     buckets: z.array(z.object({
--- a/packages/daemon/src/allowance/createAllowancePort.ts
+++ b/packages/daemon/src/allowance/createAllowancePort.ts
@@ -24,20 +24,20 @@
 
 type Decision = Either<Refusal, readonly ChargePart[]>;
 
-/** The allowances of this daemon, with what the shell and the administration API need besides. */
-type AllowanceParty = AllowancePort & {
+/** The allowances of this daemon, for its start and stop and for the administration API. */
+type RunningAllowances = AllowancePort & {
     readonly stop: () => void;
-    /** Hands all tokens back and all buckets over, when the daemon stops. */
+    /** Gives back all tokens and hands over all buckets; called when the daemon stops. */
     readonly drain: () => Promise<void>;
-    /** Undefined while the organisation is not in use here. */
+    /** Returns undefined while the organisation is not in use on this VM. */
     readonly inspect: (organisation: OrganisationId) => AllowanceReport | undefined;
 };
 
-/** Spends organisations' rate and burst together with the other VMs, by grants from home VMs. */
-export function createAllowancePort(ctx: DaemonContext, homes: HomePort): AllowanceParty {
+/** Starts the allowances, which share each organisation's rate and burst among all VMs by grants from its home VMs. */
+export function createAllowancePort(ctx: DaemonContext, homes: HomePort): RunningAllowances {
     const { clock, metrics } = ctx;
-    const parts = new WeakMap<Reservation, readonly ChargePart[]>();
-    const numbers = { next: 0 };
+    const chargedParts = new WeakMap<Reservation, readonly ChargePart[]>();
+    const requestNumber = { next: 0 };
 
     const perform = async (message: AllowanceMessage): Promise<void> => {
         switch (message.kind) {
@@ -45,7 +45,7 @@
                 const event = await exchangeAsk(ctx, message);
                 const entry = store.get(message.organisation);
                 if (entry !== undefined) {
-                    store.tell(entry, event);
+                    store.apply(entry, event);
                 }
                 return;
             }
@@ -58,37 +58,37 @@
                 await ctx.peers.exchange(to, "allowanceRecall", { organisation, waitedMs }, timing.askTimeoutMs);
                 return;
             }
-            case "ask-hand-over":
-                return await handOvers.ask(message.of, message.joinedAt);
+            case "request-hand-over":
+                return await handOvers.request(message.from, message.joinedAt);
         }
     };
     const actor = spawnStateless(ctx.system, (message: AllowanceMessage) => perform(message), "allowance-messages");
     const store = createAllowanceStore(ctx, homes, message => dispatch(actor, message));
     const handOvers = createHandOvers(ctx, homes, store);
 
-    const recalled = (body: object, from: VmId): void => {
+    const applyRecall = (body: object, from: VmId): void => {
         const recall = RecallBody.safeParse(body);
         const entry = recall.success ? store.get(recall.data.organisation) : undefined;
         if (recall.success && entry !== undefined) {
-            store.tell(entry, { kind: "recall", from, waitedMs: recall.data.waitedMs });
+            store.apply(entry, { kind: "recall", from, waitedMs: recall.data.waitedMs });
         }
     };
-    const placeAll = (): void => store.entries().forEach(store.place);
+    const updateAllPlacements = (): void => store.entries().forEach(store.updatePlacement);
     const unregister = [
         ctx.peers.handle("allowanceAsk", (body, from) => Promise.resolve(handleAsk(store, body, from))),
         ctx.peers.handle("allowanceRecall", (body, from) => {
-            recalled(body, from);
+            applyRecall(body, from);
             return Promise.resolve({});
         }),
-        ctx.release.subscribe(placeAll),
+        ctx.release.subscribe(updateAllPlacements),
         metrics.gauge(
             "azureshunt_allowance_organisations",
             "Organisations whose allowance this daemon keeps.",
             () => store.entries().length,
         ),
     ];
-    homes.onHomesChanged(placeAll);
-    homes.onHandOverDue((of, joinedAt) => dispatch(actor, { kind: "ask-hand-over", of, joinedAt }));
+    homes.onHomesChanged(updateAllPlacements);
+    homes.onHandOverDue((from, joinedAt) => dispatch(actor, { kind: "request-hand-over", from, joinedAt }));
     const timer = setInterval(store.tick, TICK_MS);
 
     const reserve: AllowancePort["reserve"] = async (organisation, tokens, deadline, signal) => {
@@ -99,41 +99,41 @@
         if (entry === undefined) {
             return Left(refusalOf("not-allowed"));
         }
-        const id = numbers.next++;
-        const since = clock.now();
+        const id = requestNumber.next++;
+        const startedAt = clock.now();
         const decided = new Promise<Decision>(resolve => {
             entry.waiting.set(id, resolve);
-            store.tell(entry, { kind: "reserve", id, tokens, deadline });
+            store.apply(entry, { kind: "reserve", id, tokens, deadline });
         });
         const abandon = (): void => {
             entry.waiting.get(id)?.(Left(refusalOf("caller-gone", undefined, { ran: "no" })));
             entry.waiting.delete(id);
-            store.tell(entry, { kind: "abandon", id });
+            store.apply(entry, { kind: "abandon", id });
         };
         if (entry.waiting.has(id)) {
             signal.addEventListener("abort", abandon, { once: true });
         }
         const decision = await decided;
         signal.removeEventListener("abort", abandon);
-        metrics.record("azureshunt_allowance_wait_ms", "Wait of requests for tokens.", clock.now() - since);
+        metrics.record("azureshunt_allowance_wait_ms", "Wait of requests for tokens.", clock.now() - startedAt);
         return decision.map(charged => {
             const reservation: Reservation = { organisation, tokens };
-            parts.set(reservation, charged);
+            chargedParts.set(reservation, charged);
             return reservation;
         });
     };
 
     const settle: AllowancePort["settle"] = (reservation, used) => {
-        const charged = parts.get(reservation);
+        const charged = chargedParts.get(reservation);
         const entry = charged === undefined ? undefined : store.get(reservation.organisation);
-        parts.delete(reservation);
+        chargedParts.delete(reservation);
         if (charged !== undefined && entry !== undefined) {
-            store.tell(entry, { kind: "settle", parts: charged, used });
+            store.apply(entry, { kind: "settle", parts: charged, used });
         }
     };
 
     const drain = async (): Promise<void> => {
-        store.entries().forEach(entry => store.tell(entry, { kind: "drain" }));
+        store.entries().forEach(entry => store.apply(entry, { kind: "drain" }));
         await delay(timing.askLateMs);
         await handOvers.leave();
     };
--- a/packages/daemon/src/allowance/createAllowanceStore.ts
+++ b/packages/daemon/src/allowance/createAllowanceStore.ts
@@ -12,23 +12,23 @@
 
 /** The allowances of the organisations in use on this VM. */
 type AllowanceStore = {
-    /** The entry of an organisation, made when there is none; undefined when the configuration does not know it. */
+    /** Returns the entry of an organisation, creating it if needed; undefined if the configuration does not name it. */
     readonly open: (organisation: OrganisationId) => OrganisationEntry | undefined;
     readonly get: (organisation: OrganisationId) => OrganisationEntry | undefined;
     readonly entries: () => readonly OrganisationEntry[];
-    readonly tell: (entry: OrganisationEntry, event: AllowanceEvent) => void;
-    /** Puts the homes and limits of now in force. */
-    readonly place: (entry: OrganisationEntry) => void;
-    /** Ticks every organisation, and forgets those that are idle. */
+    readonly apply: (entry: OrganisationEntry, event: AllowanceEvent) => void;
+    /** Applies the homes and limits that are current now. */
+    readonly updatePlacement: (entry: OrganisationEntry) => void;
+    /** Applies a tick to every organisation and removes those that are idle. */
     readonly tick: () => void;
     readonly clear: () => void;
 };
 
 /**
- * Keeps the aggregates of the organisations in use. Events are taken at once, so that a request whose tokens are here
- * waits for nothing; messages go through an actor.
+ * Creates the store of the aggregates of the organisations in use. Events are applied synchronously, so that a request
+ * whose tokens are on this VM does not wait; messages to other daemons go through an actor.
  *
- * @param send hands a message to the actor
+ * @param send passes a message to the actor
  */
 export function createAllowanceStore(
     ctx: DaemonContext,
@@ -37,10 +37,10 @@
 ): AllowanceStore {
     const { clock, metrics, settings } = ctx;
     const logger = ctx.logger("allowance");
-    const known = new Map<OrganisationId, OrganisationEntry>();
+    const entries = new Map<OrganisationId, OrganisationEntry>();
     const timers = new Set<NodeJS.Timeout>();
 
-    const placed = (organisation: OrganisationId) =>
+    const placementOf = (organisation: OrganisationId) =>
         placeOrganisation(
             ctx.release.current(),
             homes.membership(),
@@ -50,10 +50,10 @@
         );
 
     /**
-     * Does something once what has arrived is read. Failure: this VM was busy, and timers come before messages: a request
-     * is refused for a home's silence whose answer is already here.
+     * Runs a function after the messages that have already arrived are read. When this VM was busy, timers run before
+     * messages. Without this, a request would be refused because its home is silent although the answer has arrived.
      */
-    const afterArrivals = (act: () => void): void => void setImmediate(act);
+    const afterPendingMessages = (act: () => void): void => void setImmediate(act);
 
     const wake = (entry: OrganisationEntry, at: Millis): void => {
         const now = clock.now();
@@ -63,7 +63,7 @@
         entry.wakesAt = at;
         const timer = setTimeout(() => {
             timers.delete(timer);
-            afterArrivals(() => tell(entry, { kind: "tick" }));
+            afterPendingMessages(() => apply(entry, { kind: "tick" }));
         }, Math.max(1, at - now));
         timers.add(timer);
     };
@@ -72,11 +72,11 @@
         entry: OrganisationEntry,
         effect: Extract<AllowanceEffect, { kind: "admit" | "refuse"; }>,
     ): void => {
-        const settle = entry.waiting.get(effect.id);
+        const resolve = entry.waiting.get(effect.id);
         entry.waiting.delete(effect.id);
         if (effect.kind === "admit") {
             entry.charged += effect.parts.reduce((sum, part) => sum + part.tokens, 0);
-            settle?.(Right(effect.parts));
+            resolve?.(Right(effect.parts));
             return;
         }
         entry.refused++;
@@ -85,9 +85,9 @@
         });
         logger.info(
             { organisation: entry.organisation, reason: effect.reason, homes: viewHomes(entry.allowance, clock.now()) },
-            "Refused for want of tokens.",
+            "Refused a request: its tokens could not be obtained.",
         );
-        settle?.(Left(refusalOf(effect.reason, undefined, { retryAfterSeconds: effect.retryAfterSeconds })));
+        resolve?.(Left(refusalOf(effect.reason, undefined, { retryAfterSeconds: effect.retryAfterSeconds })));
     };
 
     const perform = (entry: OrganisationEntry, effect: AllowanceEffect): void => {
@@ -114,15 +114,15 @@
         }
     };
 
-    const tell = (entry: OrganisationEntry, event: AllowanceEvent): void => {
+    const apply = (entry: OrganisationEntry, event: AllowanceEvent): void => {
         const step = stepAllowance(entry.allowance, event, clock.now());
         entry.allowance = step.state;
         step.effects.forEach(effect => perform(entry, effect));
     };
 
     const open: AllowanceStore["open"] = organisation => {
-        const found = known.get(organisation);
-        const place = found === undefined ? placed(organisation) : undefined;
+        const found = entries.get(organisation);
+        const place = found === undefined ? placementOf(organisation) : undefined;
         if (found !== undefined || place === undefined) {
             return found;
         }
@@ -142,41 +142,42 @@
             charged: 0,
             refused: 0,
         };
-        known.set(organisation, entry);
+        entries.set(organisation, entry);
         return entry;
     };
 
-    const place: AllowanceStore["place"] = entry => {
-        const event = placed(entry.organisation);
+    const updatePlacement: AllowanceStore["updatePlacement"] = entry => {
+        const event = placementOf(entry.organisation);
         if (event !== undefined) {
-            tell(entry, event);
+            apply(entry, event);
         }
     };
 
-    const isBarredHome = ({ allowance }: OrganisationEntry): boolean =>
+    /** Whether this VM is a home of the organisation and may not serve as one yet. */
+    const isHomeNotServing = ({ allowance }: OrganisationEntry): boolean =>
         allowance.servesFrom === undefined && allowance.homes.some(home => home.vm === settings.vm);
 
     const tickAll = (): void =>
-        known.forEach(entry => {
-            if (isBarredHome(entry)) {
-                place(entry);
+        entries.forEach(entry => {
+            if (isHomeNotServing(entry)) {
+                updatePlacement(entry);
             }
-            tell(entry, { kind: "tick" });
+            apply(entry, { kind: "tick" });
             if (isIdle(entry.allowance, clock.now())) {
-                known.delete(entry.organisation);
+                entries.delete(entry.organisation);
             }
         });
 
     return {
         open,
-        get: organisation => known.get(organisation),
-        entries: () => [...known.values()],
-        tell,
-        place,
-        tick: () => afterArrivals(tickAll),
+        get: organisation => entries.get(organisation),
+        entries: () => [...entries.values()],
+        apply,
+        updatePlacement,
+        tick: () => afterPendingMessages(tickAll),
         clear: () => {
             timers.forEach(clearTimeout);
-            known.clear();
+            entries.clear();
         },
     };
 }
--- a/packages/daemon/src/allowance/exchangeAsk.ts
+++ b/packages/daemon/src/allowance/exchangeAsk.ts
@@ -8,8 +8,8 @@
 type Ask = Extract<AllowanceMessage, { readonly kind: "ask"; }>;
 
 /**
- * Sends an ask for tokens and reads its answer. An answer that does not come, declines or is not understood counts as
- * none: the tokens in it, if any, are void with the next ask.
+ * Sends an ask for tokens to a home and returns the event for its answer. An answer that does not come, declines or
+ * does not parse grants nothing: the next ask voids the tokens in it, if any.
  */
 export async function exchangeAsk(ctx: DaemonContext, message: Ask): Promise<AllowanceEvent> {
     const { organisation, to, ask } = message;
--- a/packages/daemon/src/allowance/placeOrganisation.ts
+++ b/packages/daemon/src/allowance/placeOrganisation.ts
@@ -10,12 +10,12 @@
 type Placed = Extract<AllowanceEvent, { readonly kind: "placed"; }>;
 
 /**
- * Gives an organisation's limits and its home in each failure domain.
+ * Returns the event with an organisation's current limits and its home in each failure domain.
  *
  * @param cfg the configuration in force
- * @param membership from the log
- * @param members as known by any means, for the time before the log has been read
- * @returns undefined when the configuration does not know the organisation
+ * @param membership the membership from the log
+ * @param members the members from any source, used until the log has been read
+ * @returns undefined if the configuration does not name the organisation
  */
 export function placeOrganisation(
     cfg: Configuration | undefined,
--- a/packages/daemon/src/suspects/SUSPECT_TIMES.ts
+++ b/packages/daemon/src/suspects/SUSPECT_TIMES.ts
@@ -6,15 +6,15 @@
     queryAgainMs: 500,
     queryForMs: 30_000,
     /**
-     * Timeout of one message to a VM, the delay before it is resent to a VM that has not acknowledged it, and the time after
-     * which it is no longer resent.
+     * Timeout of one message to a VM, the delay before it is resent to a VM that has not acknowledged it, and the time
+     * after which it is no longer resent.
      */
     sendTimeoutMs: 1_000,
     sendAgainMs: 250,
     sendForMs: 60_000,
     /**
-     * Longest wait for all VMs to acknowledge a quarantine before its request is refused, as the caller may turn to any of
-     * them.
+     * Longest wait for all VMs to acknowledge a quarantine before its request is refused, as the caller may turn to any
+     * of them.
      */
     maxAcknowledgeWaitMs: 2_000,
     /** Longest wait for the check of a first death; the request then continues as a suspect. */
--- a/packages/daemon/src/suspects/createAdmission.ts
+++ b/packages/daemon/src/suspects/createAdmission.ts
@@ -51,10 +51,10 @@
 });
 
 /**
- * Starts the part that decides whether a suspect may run at an endpoint. It queries all VMs first: each answers whether it
- * runs the request, or another suspect at that endpoint, and both sides learn which deaths the other one knows of. Of two
- * VMs that query at once, the first by name is preferred. A VM that does not answer is left out, so that a failure domain
- * that is cut off continues to serve.
+ * Starts the part that decides whether a suspect may run at an endpoint. It queries all VMs first: each answers whether
+ * it runs the request, or another suspect at that endpoint, and both sides learn which deaths the other one knows of.
+ * Of two VMs that query at once, the first by name is preferred. A VM that does not answer is left out, so that a
+ * failure domain that is cut off continues to serve.
  */
 export function createAdmission({ ctx, calls, suspects, times, waitForProbes }: AdmissionParts): SuspectAdmission {
     const { clock, metrics, peers, settings } = ctx;
--- a/packages/daemon/src/suspects/createDeathChecker.ts
+++ b/packages/daemon/src/suspects/createDeathChecker.ts
@@ -73,8 +73,8 @@
     };
 
     /**
-     * Continues to query VMs that have not answered what they ran. Without their answers the check of the death may never
-     * complete, and the requests that were running when the endpoint died stay held.
+     * Continues to query VMs that have not answered what they ran. Without their answers the check of the death may
+     * never complete, and the requests that were running when the endpoint died stay held.
      */
     const querySilent = async (
         id: string,
@@ -115,7 +115,9 @@
         return death !== undefined && ranHere(id, endpoint).every(request => recorded.includes(request));
     };
 
-    /** Records a death at once with what this VM ran, so that these requests are held while the other VMs are queried. */
+    /**
+     * Records a death at once with what this VM ran, so that these requests are held while the other VMs are queried.
+     */
     const recordLocalDeath = async (id: string, endpoint: EndpointName): Promise<void> => {
         const running = ranHere(id, endpoint);
         metrics.count("azureshunt_endpoint_deaths_total", "Deaths of endpoints with requests running there.");
--- a/packages/daemon/src/suspects/createReliableSender.ts
+++ b/packages/daemon/src/suspects/createReliableSender.ts
@@ -9,13 +9,15 @@
 /** Sends messages that no peer may miss. */
 type ReliableSender = {
     /**
-     * Sends a message to all peers, and resends it to each until that peer has acknowledged it, is no longer a peer, or the
-     * message is outdated.
+     * Sends a message to all peers, and resends it to each until that peer has acknowledged it, is no longer a peer, or
+     * the message is outdated.
      *
      * @param body creates the message for each sending; undefined once it is outdated
      */
     readonly send: (kind: string, body: () => object | undefined) => void;
-    /** Settles when all messages under way are acknowledged or given up, but after `maxAcknowledgeWaitMs` at the latest. */
+    /**
+     * Settles when all messages under way are acknowledged or given up, but after `maxAcknowledgeWaitMs` at the latest.
+     */
     readonly allAcknowledged: () => Promise<void>;
     readonly stop: () => void;
 };
--- a/packages/daemon/src/suspects/createRunningCalls.ts
+++ b/packages/daemon/src/suspects/createRunningCalls.ts
@@ -4,12 +4,15 @@
 import { deathIdOf } from "./deathIdOf.js";
 import type { RunningCalls } from "./RunningCalls.js";
 
-/** How long calls are kept that ended with the death of their endpoint, since busy VMs query late what was running there. */
+/**
+ * How long calls are kept that ended with the death of their endpoint, since busy VMs query late what was running
+ * there.
+ */
 const KEEP_DIED_MS = 60_000;
 
 /**
- * Time within which one death is noticed on all connections. Calls that ended within it count for the death even if they
- * were sent to what was taken for another incarnation.
+ * Time within which one death is noticed on all connections. Calls that ended within it count for the death even if
+ * they were sent to what was taken for another incarnation.
  */
 const SAME_DEATH_MS = 3_000;
 
--- a/packages/daemon/src/suspects/createSuspectPort.ts
+++ b/packages/daemon/src/suspects/createSuspectPort.ts
@@ -22,7 +22,9 @@
 import type { SuspectTimes } from "./SuspectTimes.js";
 import { waitAtMost } from "./waitAtMost.js";
 
-/** Starts the part that keeps track of requests that were running on endpoints when these died, on this and other VMs. */
+/**
+ * Starts the part that keeps track of requests that were running on endpoints when these died, on this and other VMs.
+ */
 export function createSuspectPort(
     ctx: DaemonContext,
     times: SuspectTimes = SUSPECT_TIMES,
@@ -44,9 +46,9 @@
     const admission = createAdmission({ ctx, calls, suspects, times, waitForProbes: deathChecker.waitForProbes });
 
     /**
-     * Waits for the check of the endpoint's death. A request that was running at one death continues soon, even if a VM is
-     * slow to answer what it ran. One that was running at two waits until both are checked: it may be the cause, and would
-     * crash a third endpoint.
+     * Waits for the check of the endpoint's death. A request that was running at one death continues soon, even if a VM
+     * is slow to answer what it ran. One that was running at two waits until both are checked: it may be the cause, and
+     * would crash a third endpoint.
      */
     const waitForDeathCheck = async (call: Call, placement: Placement): Promise<void> => {
         const request = fingerprintCall(call);
--- a/packages/daemon/src/suspects/hasDied.ts
+++ b/packages/daemon/src/suspects/hasDied.ts
@@ -35,8 +35,8 @@
  * Returns whether a model engine's process is gone, after a connection to it broke.
  *
  * If something between this VM and the engine cuts connections, requests that merely lost their connection would become
- * suspects. To prevent this, only an engine whose port refuses connections, or that answers as another incarnation, counts
- * as dead.
+ * suspects. To prevent this, only an engine whose port refuses connections, or that answers as another incarnation,
+ * counts as dead.
  *
  * @param incarnation the incarnation that the broken connection belonged to
  */
--- a/packages/daemon/src/suspects/learnQuarantines.ts
+++ b/packages/daemon/src/suspects/learnQuarantines.ts
@@ -13,8 +13,8 @@
 /**
  * Learns from peers, after a start, which requests crash endpoints or may do so.
  *
- * A restarted daemon knows of no death and no quarantine, and would let a quarantined request crash two more endpoints. To
- * prevent this, it queries a few peers at once, and again each second until enough have answered.
+ * A restarted daemon knows of no death and no quarantine, and would let a quarantined request crash two more endpoints.
+ * To prevent this, it queries a few peers at once, and again each second until enough have answered.
  *
  * @returns a function that stops the queries
  */
