--- a/packages/daemon/src/__tests__/fakes/FakeEngine.ts
+++ b/packages/daemon/src/__tests__/fakes/FakeEngine.ts
@@ -11,7 +11,7 @@
     readonly hashes: PieceHash[];
 };
 
-/** What a fake engine says when it is asked. Tests change it between questions. */
+/** What a fake engine answers. Tests change it between requests. */
 type EngineView = {
     incarnation: string;
     ready: boolean;
@@ -22,12 +22,12 @@
     answers: boolean;
 };
 
-/** An engine that answers questions about itself and runs nothing. */
+/** An engine that answers queries about its state and runs no requests. */
 type FakeEngine = {
     readonly url: string;
     readonly view: EngineView;
     readonly publish: (event: Published) => void;
-    /** How many follow its cache events. */
+    /** The number of open streams of cache events. */
     readonly followers: () => number;
     readonly stop: () => Promise<void>;
 };
--- a/packages/daemon/src/__tests__/unit/placement.test.ts
+++ b/packages/daemon/src/__tests__/unit/placement.test.ts
@@ -13,17 +13,17 @@
 import { FakePeers } from "../fakes/FakePeers.js";
 import { modelCall } from "../fakes/modelCall.js";
 
-const PATIENCE_MS = 10_000;
+const DEADLINE_MS = 10_000;
 const pieces = (...numbers: number[]) => numbers.map(n => PieceHash.parse(n.toString(16).padStart(32, "0")));
 
-/** What several daemons of one test have in common. */
+/** What several daemons of one test share, and the name of this one. */
 type Shared = {
     readonly vm: string;
     readonly peers: FakePeers;
     readonly engines: readonly Awaited<ReturnType<typeof startFakeEngine>>[];
 };
 
-/** Two fake engines and a placement that watches them. */
+/** Starts two fake engines, unless they are shared, and a placement port that watches them. */
 const setUp = async (t: ExecutionContext, shared?: Shared) => {
     const engines = shared?.engines ?? await Promise.all(["run-1", "run-2"].map(startFakeEngine));
     const { ctx, declare } = fakeContext(shared?.vm, shared?.peers);
@@ -39,7 +39,7 @@
     const infoOf = (name: string) => placement.inspect().find(info => info.name === name);
     const call = (id: string, hashes: readonly PieceHash[], more: Partial<Call> = {}): Call => {
         const arrivedAt = ctx.clock.now();
-        return modelCall(id, { pieces: hashes }, { arrivedAt, deadline: arrivedAt + PATIENCE_MS, ...more });
+        return modelCall(id, { pieces: hashes }, { arrivedAt, deadline: arrivedAt + DEADLINE_MS, ...more });
     };
     const place = async (one: Call) => (await placement.place(one, [])).unsafeCoerce();
     const until = async (holds: () => boolean): Promise<void> => {
@@ -55,13 +55,13 @@
 const matchedAt = (setup: Awaited<ReturnType<typeof setUp>>, id: string, endpoint: string) =>
     setup.placement.explain(RequestId.parse(id))?.at(-1)?.candidates.find(each => each.endpoint === endpoint)
         ?.matchedPieces;
-/** Ends a request without a first token: a fake engine's, which comes at once, would teach a speed that none has. */
+/** Ends a request without a first token: a fake engine's comes at once and would show a speed that no engine has. */
 const finish = (placement: Placement) => {
     placement.started(placement.incarnation, 0);
     placement.end("complete");
 };
 
-test("placement: a request goes where its prefix is cached", async t => {
+test("placement: a request is sent to the endpoint that caches its prefix", async t => {
     const setup = await setUp(t);
     await setup.up();
     setup.engines[1]!.publish({ seq: 1, kind: "stored", hashes: pieces(1, 2) });
@@ -76,8 +76,9 @@
     t.is((await setup.place(setup.call("r", pieces(1, 2, 3)))).endpoint as string, "engine-2");
 });
 
-test("placement: entries of a crashed engine's former run never count again", async t => {
-    // Events of an engine's former run come late, and requests go to it for a prefix that it has lost.
+test("placement: late events of an engine's earlier incarnation are ignored", async t => {
+    // If late events of an earlier incarnation counted, requests would be sent to the engine for a prefix that it has
+    // lost.
     const setup = await setUp(t);
     await setup.up();
     const [engine] = setup.engines;
@@ -86,7 +87,7 @@
     engine!.view.incarnation = "run-1b";
     engine!.view.cache = { seq: 0, hashes: [] };
     const first = await setup.placement.place(
-        setup.call("sees-new-run", pieces(9)),
+        setup.call("sees-new-incarnation", pieces(9)),
         setup.specs.slice(1).map(s => s.name),
     );
     first.unsafeCoerce().started(Incarnation.parse("run-1b"), 0);
@@ -109,7 +110,7 @@
     t.is(matchedAt(setup, "r", "engine-1"), 0);
 });
 
-test("placement: a leaving endpoint gets no new work", async t => {
+test("placement: a leaving endpoint gets no new requests", async t => {
     const setup = await setUp(t);
     await setup.up();
     setup.declare(setup.specs.map((spec, i) => ({ ...spec, leaving: i === 0 })));
@@ -123,7 +124,7 @@
     t.deepEqual([...new Set(chosen)], ["engine-2"]);
 });
 
-test("placement: an engine that died under a request gets work again once it answers", async t => {
+test("placement: an engine that died during a request gets requests again once it answers", async t => {
     const setup = await setUp(t);
     await setup.up();
     setup.declare(setup.specs.slice(0, 1));
@@ -140,12 +141,12 @@
 });
 
 test("placement: a request for pieces that are being computed waits for them", async t => {
-    // Two requests for the same new prompt are sent at once, and the engine computes its pieces twice.
+    // If two requests with the same new prompt are sent at once, the engine computes its pieces twice.
     const setup = await setUp(t);
     await setup.up();
     const short = (id: string): Call => {
         const call = setup.call(id, pieces(1, 2));
-        // So little to compute that the engine's queue alone would hold nothing up.
+        // So little to compute that the engine's queue alone would not delay the second request.
         const target = { ...call.target, pieceTokens: 100, promptTokens: 300 } as Call["target"];
         return { ...call, target };
     };
@@ -217,8 +218,8 @@
     t.is((await setup.place(setup.call("r", [], { target }))).endpoint as string, "booking-2");
 });
 
-test("placement: daemons count what others have just sent, before any engine reports it", async t => {
-    // Two daemons choose the same idle engine at once. Its computation must not end during the test.
+test("placement: daemons count what others have just dispatched, before an engine reports it", async t => {
+    // Otherwise two daemons choose the same idle engine at once. The computation must not end during the test.
     const prompt = pieces(...Array.from({ length: 20 }, (_, n) => n + 1));
     const peers = new FakePeers();
     const engines = await Promise.all(["run-1", "run-2"].map(startFakeEngine));
@@ -244,11 +245,11 @@
     t.is((await waiting).endpoint, first.endpoint);
 });
 
-/** Two heartbeats of those who share the news of engines, and the time to close a connection. */
+/** Two heartbeats of the sharing of engine updates, and the time to close a connection. */
 const SETTLED_MS = 700;
 
 test("placement: one daemon follows an engine for its failure domain, and another takes over when it dies", async t => {
-    // The VM that forwards an engine's events dies, and the others go by prefixes that the engine has dropped.
+    // If the VM that sends an engine's events dies, the others would rely on prefixes that the engine has evicted.
     const peers = new FakePeers();
     const engines = await Promise.all(["run-1", "run-2"].map(startFakeEngine));
     const shared = ["vm-1", "vm-2"].map(vm => ({ vm, peers, engines }));
@@ -266,7 +267,7 @@
     };
     engine!.publish({ seq: 1, kind: "stored", hashes: pieces(1) });
     await Promise.all(daemons.map(daemon => holds(daemon, "before", pieces(1))));
-    // Until each has heard the other's first heartbeat both follow it; from then on exactly one does, and goes on to.
+    // Until each has received the other's first heartbeat both follow it; from then on exactly one does.
     await sleep(SETTLED_MS);
     t.is(engine!.followers(), 1);
     const first = rendezvousOrder("engine-1", ["vm-1", "vm-2"])[0] === "vm-1" ? 0 : 1;
--- a/packages/daemon/src/placement/ChoiceLog.ts
+++ b/packages/daemon/src/placement/ChoiceLog.ts
@@ -2,14 +2,14 @@
 
 import type { ChoiceRecord } from "./ChoiceRecord.js";
 
-/** Requests that are remembered; the oldest is forgotten first. */
+/** Requests kept; the oldest is removed first. */
 const MAX_REQUESTS = 1_000;
 
-/** Remembers the choices made for the newest requests. */
+/** Keeps the choices made for the newest requests. */
 export class ChoiceLog {
     readonly #choices = new Map<RequestId, readonly ChoiceRecord[]>();
 
-    /** Adds one choice of a request; a request that is tried again has several. */
+    /** Adds a choice of a request; a request that is retried has several. */
     add(id: RequestId, choice: ChoiceRecord): void {
         this.#choices.set(id, [...this.#choices.get(id) ?? [], choice]);
         const oldest = this.#choices.keys().next();
@@ -18,7 +18,7 @@
         }
     }
 
-    /** The choices of a request in order; undefined when it is not remembered. */
+    /** Returns the choices of a request in order; undefined if the request is not kept. */
     get(id: RequestId): readonly ChoiceRecord[] | undefined {
         return this.#choices.get(id);
     }
--- a/packages/daemon/src/placement/ChoiceRecord.ts
+++ b/packages/daemon/src/placement/ChoiceRecord.ts
@@ -1,7 +1,7 @@
 import type { EndpointName, Millis } from "@azureshunt/core";
 import type { Candidate } from "@azureshunt/endpoint";
 
-/** One choice of an endpoint, kept for `azureshunt why`. */
+/** A choice of an endpoint, kept for `azureshunt why`. */
 export type ChoiceRecord = {
     readonly at: Millis;
     /** Milliseconds that the request waited in this daemon's queue. */
--- a/packages/daemon/src/placement/Chooser.ts
+++ b/packages/daemon/src/placement/Chooser.ts
@@ -4,23 +4,25 @@
 
 import type { Call } from "../ports/Call.js";
 import type { ComputingPieces } from "./ComputingPieces.js";
-import type { EndpointBook } from "./EndpointBook.js";
+import type { EndpointTable } from "./EndpointTable.js";
 import type { FetchCost } from "./FetchCost.js";
 
-/** Milliseconds of work that an engine is given ahead; more waits here, where the fair queue orders it. */
+/** Most work queued at an engine, in milliseconds; the rest waits in this daemon, where the fair queue orders it. */
 const MAX_ENGINE_QUEUE_MS = 100;
 
-/** What a chooser needs. */
+/** Dependencies of a `Chooser`. */
 type ChooserParts = {
-    readonly book: EndpointBook;
+    readonly endpointTable: EndpointTable;
     readonly index: PrefixIndex;
     readonly computing: ComputingPieces;
     readonly fetches: FetchCost;
     readonly policy: Policy;
-    /** Whether work is held here while engines are full; the baselines pass everything on at once. */
-    readonly holds: boolean;
+    /**
+     * Whether calls are queued in this daemon while engines are full; the baseline policies dispatch all calls at once.
+     */
+    readonly isQueueing: boolean;
     readonly random: () => number;
-    /** Whether a call may run beside what runs at an endpoint. */
+    /** Whether a call may run at an endpoint beside the calls that run there. */
     readonly mayShare: (call: Call, endpoint: EndpointName) => boolean;
 };
 
@@ -31,7 +33,7 @@
     readonly startsNow: boolean;
 };
 
-/** Chooses endpoints from the state as it is now. */
+/** Chooses endpoints by their current state. */
 export class Chooser {
     readonly #parts: ChooserParts;
     #turn = 0;
@@ -40,12 +42,17 @@
         this.#parts = parts;
     }
 
-    /** Counts a choice that was put into effect. */
-    took(): void {
+    /** Counts a choice that was used, for policies that choose in rotation. */
+    countChoice(): void {
         this.#turn++;
     }
 
-    /** Chooses an endpoint; undefined when none may run the call. */
+    /**
+     * Chooses an endpoint.
+     *
+     * @param tried endpoints that failed this call, chosen again only if no other is eligible
+     * @returns undefined if no endpoint may run the call
+     */
     choose(call: Call, tried: readonly EndpointName[], now: Millis): Choice | undefined {
         const candidates = this.#candidates(call, this.#endpointsFor(call, tried), now);
         const pieces = call.target.kind === "model" ? call.target.pieces : [];
@@ -57,9 +64,11 @@
     }
 
     #endpointsFor(call: Call, tried: readonly EndpointName[]): readonly EndpointState[] {
-        const eligible = this.#parts.book.eligibleFor(call).filter(each => this.#parts.mayShare(call, each.name));
-        const fresh = eligible.filter(each => !tried.includes(each.name));
-        return fresh.length > 0 ? fresh : eligible;
+        const eligible = this.#parts.endpointTable.eligibleFor(call).filter(each =>
+            this.#parts.mayShare(call, each.name)
+        );
+        const untried = eligible.filter(each => !tried.includes(each.name));
+        return untried.length > 0 ? untried : eligible;
     }
 
     #candidates(call: Call, endpoints: readonly EndpointState[], now: Millis): readonly Candidate[] {
@@ -68,13 +77,13 @@
             const none = { matched: [], confirmed: [], fetchMsPerPiece: undefined };
             return candidatesOf({ endpoints, ...none, promptTokens: 0, pieceTokens: 1, now });
         }
-        const { index, holds, fetches } = this.#parts;
+        const { index, isQueueing, fetches } = this.#parts;
         const names = endpoints.map(each => each.name);
         return candidatesOf({
             endpoints,
             matched: index.match(target.pieces, names, now),
-            confirmed: holds ? index.matchConfirmed(target.pieces, names) : [],
-            fetchMsPerPiece: holds ? fetches.msPerPiece(now) : undefined,
+            confirmed: isQueueing ? index.matchConfirmed(target.pieces, names) : [],
+            fetchMsPerPiece: isQueueing ? fetches.msPerPiece(now) : undefined,
             promptTokens: target.promptTokens,
             pieceTokens: target.pieceTokens,
             now,
@@ -82,20 +91,21 @@
     }
 
     #startsNow(call: Call, chosen: Candidate, now: Millis): boolean {
-        if (call.target.kind === "service" || !this.#parts.holds) {
+        if (call.target.kind === "service" || !this.#parts.isQueueing) {
             return true;
         }
         return chosen.estimate.wait <= MAX_ENGINE_QUEUE_MS && !this.#waitsForPieces(call, chosen, now);
     }
 
     /**
-     * Whether the endpoint is computing pieces that this call counts on. Sent now, it would compute them once more;
-     * sent when they are there, it starts no later and leaves the engine's time to others.
+     * Whether the endpoint is still computing pieces that this call is expected to find cached. A call sent now would
+     * make the engine compute them again. A call sent when they are cached starts no later, and the engine's time goes
+     * to other calls.
      */
     #waitsForPieces(call: Call, chosen: Candidate, now: Millis): boolean {
         const { computing, index } = this.#parts;
-        const counted = call.target.kind === "model" ? call.target.pieces.slice(0, chosen.matchedPieces) : [];
-        const underWay = computing.among(counted, chosen.endpoint, now);
-        return underWay.length > 0 && !index.isConfirmed(underWay, chosen.endpoint);
+        const expected = call.target.kind === "model" ? call.target.pieces.slice(0, chosen.matchedPieces) : [];
+        const beingComputed = computing.computingAt(expected, chosen.endpoint, now);
+        return beingComputed.length > 0 && !index.isConfirmed(beingComputed, chosen.endpoint);
     }
 }
--- a/packages/daemon/src/placement/ComputingPieces.ts
+++ b/packages/daemon/src/placement/ComputingPieces.ts
@@ -1,21 +1,22 @@
 import type { DispatchId, EndpointName, Millis, PieceHash } from "@azureshunt/core";
 
-/** One computation of a piece that is under way. */
+/** The running computation of a piece. */
 type Computation = {
     readonly endpoint: EndpointName;
+    /** `undefined` if another VM dispatched the request. */
     readonly dispatchId: DispatchId | undefined;
     readonly expiresAt: Millis;
 };
 
 /**
- * Pieces that endpoints are computing now. An engine does not share a computation with a request that arrives meanwhile:
- * that one would compute the same pieces again. It is better held here until the pieces are there.
+ * Pieces that endpoints are computing now. An engine does not share a running computation with a request that arrives
+ * meanwhile, but computes the same pieces again, so such a request waits in this daemon until the pieces are cached.
  */
 export class ComputingPieces {
     readonly #byPiece = new Map<PieceHash, Computation>();
     readonly #byDispatch = new Map<DispatchId, readonly PieceHash[]>();
 
-    /** Notes that a dispatch makes an endpoint compute pieces. */
+    /** Records that a dispatch of this VM makes an endpoint compute pieces. */
     begin(dispatchId: DispatchId, endpoint: EndpointName, pieces: readonly PieceHash[], expiresAt: Millis): void {
         if (pieces.length > 0) {
             pieces.forEach(piece => this.#byPiece.set(piece, { endpoint, dispatchId, expiresAt }));
@@ -23,14 +24,14 @@
         }
     }
 
-    /** Notes that another VM makes an endpoint compute pieces, which it is to have done at `expiresAt`. */
-    heard(endpoint: EndpointName, pieces: readonly PieceHash[], expiresAt: Millis): void {
+    /** Records that a dispatch of another VM makes an endpoint compute pieces, expected to be done at `expiresAt`. */
+    beginElsewhere(endpoint: EndpointName, pieces: readonly PieceHash[], expiresAt: Millis): void {
         pieces
             .filter(piece => !this.#byPiece.has(piece))
             .forEach(piece => this.#byPiece.set(piece, { endpoint, dispatchId: undefined, expiresAt }));
     }
 
-    /** Ends a dispatch's computation. */
+    /** Removes the computations of a dispatch. */
     end(dispatchId: DispatchId): void {
         (this.#byDispatch.get(dispatchId) ?? [])
             .filter(piece => this.#byPiece.get(piece)?.dispatchId === dispatchId)
@@ -38,15 +39,15 @@
         this.#byDispatch.delete(dispatchId);
     }
 
-    /** The pieces of a prompt that an endpoint is computing. */
-    among(pieces: readonly PieceHash[], endpoint: EndpointName, now: Millis): readonly PieceHash[] {
+    /** Returns those of the pieces that an endpoint is computing. */
+    computingAt(pieces: readonly PieceHash[], endpoint: EndpointName, now: Millis): readonly PieceHash[] {
         return pieces.filter(piece => {
             const computation = this.#byPiece.get(piece);
             return computation?.endpoint === endpoint && computation.expiresAt > now;
         });
     }
 
-    /** Forgets computations that should long be done. */
+    /** Removes expired computations. */
     sweep(now: Millis): void {
         [...this.#byPiece]
             .filter(([, computation]) => computation.expiresAt <= now)
--- a/packages/daemon/src/placement/DispatchNotice.ts
+++ b/packages/daemon/src/placement/DispatchNotice.ts
@@ -3,7 +3,7 @@
 
 const Count = z.number().int().min(0);
 
-/** Work that a daemon sent to an endpoint, as `Dispatch` of `peers.proto` carries it. */
+/** Work that a daemon sent to an endpoint: the message `Dispatch` of `peers.proto`. */
 const DispatchNotice = z.object({
     endpoint: EndpointName,
     incarnation: Incarnation,
--- a/packages/daemon/src/placement/EndpointInfo.ts
+++ b/packages/daemon/src/placement/EndpointInfo.ts
@@ -1,7 +1,7 @@
 import type { EndpointName, FailureDomain, Incarnation } from "@azureshunt/core";
 import type { EndpointLoad, HeldWeights } from "@azureshunt/endpoint";
 
-/** One endpoint as `azureshunt endpoint list` shows it. */
+/** An endpoint as `azureshunt endpoint list` shows it. */
 export type EndpointInfo = {
     readonly name: EndpointName;
     readonly kind: "model" | "service" | "cache";
--- a/packages/daemon/src/placement/EndpointBook.ts
+++ b/packages/daemon/src/placement/EndpointTable.ts
@@ -7,15 +7,15 @@
 
 const byName = (a: EndpointSpec, b: EndpointSpec): number => (a.name < b.name ? -1 : 1);
 
-/** The declared endpoints and what is known of each. */
-export class EndpointBook {
+/** The declared endpoints and the state of each. */
+export class EndpointTable {
     #specs: readonly EndpointSpec[] = [];
     readonly #states = new Map<EndpointName, EndpointState>();
 
     /**
-     * Takes over the endpoints of a configuration.
+     * Applies the endpoints of a configuration.
      *
-     * @returns the endpoints that are declared no more, or at another address
+     * @returns the endpoints that are no longer declared, or declared with another URL
      */
     configure(cfg: Configuration, now: Millis): readonly EndpointName[] {
         const gone = this.#specs
@@ -31,7 +31,7 @@
         return gone;
     }
 
-    /** Applies an event to an endpoint, if it is declared; gives what the event calls for. */
+    /** Applies an event to an endpoint, if it is declared, and returns the effects to perform. */
     apply(name: EndpointName, event: EndpointEvent, now: Millis): readonly EndpointEffect[] {
         const state = this.#states.get(name);
         if (state === undefined) {
@@ -42,17 +42,17 @@
         return step.effects;
     }
 
-    /** All declared endpoints by name. */
+    /** Returns all declared endpoints, ordered by name. */
     specs(): readonly EndpointSpec[] {
         return this.#specs;
     }
 
-    /** What is known of an endpoint. */
+    /** Returns the state of an endpoint; undefined if it is not declared. */
     stateOf(name: EndpointName): EndpointState | undefined {
         return this.#states.get(name);
     }
 
-    /** Endpoints that may run a call, by name. */
+    /** Returns the endpoints that may run a call, ordered by name. */
     eligibleFor(call: Call): readonly EndpointState[] {
         const { target } = call;
         return target.kind === "service"
@@ -60,17 +60,17 @@
             : this.#eligible(spec => spec.kind === "model", target);
     }
 
-    /** KV cache stores that answer. */
+    /** Returns the eligible KV cache stores. */
     stores(): readonly EndpointState[] {
         return this.#eligible(spec => spec.kind === "cache", undefined);
     }
 
     #eligible(
-        isMeant: (spec: EndpointSpec) => boolean,
+        isWanted: (spec: EndpointSpec) => boolean,
         wanted: Parameters<typeof isEligible>[1],
     ): readonly EndpointState[] {
         return this.#specs
-            .filter(isMeant)
+            .filter(isWanted)
             .flatMap(spec => this.#states.get(spec.name) ?? [])
             .filter(state => isEligible(state, wanted));
     }
--- a/packages/daemon/src/placement/EndpointWatch.ts
+++ b/packages/daemon/src/placement/EndpointWatch.ts
@@ -5,22 +5,24 @@
 
 import type { Clock } from "../ports/Clock.js";
 
-/** What watching an endpoint needs. */
+/** Inputs of watching an endpoint. */
 export type EndpointWatch = {
     readonly spec: EndpointSpec;
     readonly clock: Clock;
     /** Uniform in [0, 1). */
     readonly random: () => number;
-    /** Pool of connections for short calls. */
+    /** Connections for polls. */
     readonly dispatcher: Dispatcher;
-    /** Connections for streams of cache events, so that short calls never wait behind one. */
+    /** Connections for streams of cache events, separate so that polls never wait behind a stream. */
     readonly streams: Dispatcher;
     readonly onEvent: (event: EndpointEvent) => void;
     readonly onCacheEvent: (event: CacheEvent) => void;
     readonly onCacheSnapshot: (snapshot: CacheSnapshot) => void;
-    /** Whether this VM follows the engine itself; another one forwards its load and cache events otherwise. */
+    /** Whether this VM follows the engine itself; if not, another VM sends the engine's load and cache events. */
     readonly follows: () => boolean;
-    /** The run whose cache is followed, the last event known, and whether entries wait for a resync. */
+    /**
+     * The incarnation whose cache is followed, the number of the last event applied, and whether a resync is needed.
+     */
     readonly cursor: () => {
         readonly incarnation: Incarnation | undefined;
         readonly seq: number;
--- a/packages/daemon/src/placement/EngineAnswers.ts
+++ b/packages/daemon/src/placement/EngineAnswers.ts
@@ -1,14 +1,14 @@
 import { AdapterName, Incarnation, ModelName, PieceHash, WeightsVersion } from "@azureshunt/core";
 import { z } from "zod";
 
-const Held = z.object({ model: ModelName, adapter: AdapterName.nullish(), version: WeightsVersion })
+const HeldWeights = z.object({ model: ModelName, adapter: AdapterName.nullish(), version: WeightsVersion })
     .transform(({ model, adapter, version }) => ({ model, adapter: adapter ?? undefined, version }));
 const Count = z.number().int().min(0);
 
-/** The answers of a model engine about itself. */
+/** Answers of a model engine to queries about its state. */
 const EngineAnswers = {
     /** `GET /v1/state` */
-    state: z.object({ incarnation: Incarnation, ready: z.boolean(), holds: z.array(Held) }),
+    state: z.object({ incarnation: Incarnation, ready: z.boolean(), holds: z.array(HeldWeights) }),
     /** `GET /v1/load`; `at` is in milliseconds since the epoch by the engine's clock. */
     load: z.object({
         incarnation: Incarnation,
--- a/packages/daemon/src/placement/EngineNews.ts
+++ b/packages/daemon/src/placement/EngineNews.ts
@@ -3,7 +3,7 @@
 
 const Count = z.number().int().min(0);
 
-/** One change of an engine's cache; `hashes` are 16 bytes each. */
+/** A change of an engine's cache; `hashes` are 16 bytes each. */
 const CacheChange = z.object({
     endpoint: EndpointName,
     incarnation: Incarnation,
@@ -12,7 +12,7 @@
     hashes: z.custom<Uint8Array>(value => value instanceof Uint8Array, "use bytes"),
 });
 
-/** An engine's load. */
+/** A load report of an engine. */
 const LoadNotice = z.object({
     endpoint: EndpointName,
     incarnation: Incarnation,
@@ -23,9 +23,9 @@
     askedMsAgo: Count,
 });
 
-/** News of engines, as `EngineNews` of `peers.proto` carries them from the VM that follows them to the others. */
+/** Updates of engines from the VM that follows them to the others: the message `EngineNews` of `peers.proto`. */
 const EngineNews = z.object({
-    /** Engines that the sender follows, also when there is nothing new of them. */
+    /** Engines that the sender follows, also if there are no updates of them. */
     following: z.array(EndpointName).default([]),
     changes: z.array(CacheChange).default([]),
     loads: z.array(LoadNotice).default([]),
--- a/packages/daemon/src/placement/FetchCost.ts
+++ b/packages/daemon/src/placement/FetchCost.ts
@@ -1,30 +1,31 @@
 import type { Millis } from "@azureshunt/core";
 
 const MAX_SAMPLES = 15;
-/** Milliseconds a piece before any was fetched. */
-const FIRST_GUESS = 10;
-/** A fetch that brought nothing counts as if a part of a piece had come, so that its cost shows. */
-const NOTHING = 0.25;
-/** After this time a cost counts no more: where fetching looks dear nobody fetches, and nothing newer would be learned. */
-const FRESH_MS = 5_000;
+/** Assumed cost while there are no samples. */
+const DEFAULT_MS_PER_PIECE = 10;
+/** Pieces that a fetch counts as having brought at least, so that one that brought nothing still has a finite cost. */
+const MIN_PIECES = 0.25;
+/**
+ * Age after which a sample is ignored: while fetching looks expensive no fetch is made, so no newer sample would come.
+ */
+const MAX_SAMPLE_AGE_MS = 5_000;
 
-/** One fetch. */
 type Sample = { readonly at: Millis; readonly msPerPiece: Millis; };
 
-/** Learns what it costs an engine to fetch a cached piece from another one. */
+/** Estimates what it costs an engine to fetch a cached piece from another one. */
 export class FetchCost {
     #samples: readonly Sample[] = [];
 
-    /** Notes that a fetch which ended now brought this many pieces. */
+    /** Records a fetch that ended at `now`. */
     observe(pieces: number, elapsed: Millis, now: Millis): void {
-        const sample = { at: now, msPerPiece: elapsed / Math.max(NOTHING, pieces) };
+        const sample = { at: now, msPerPiece: elapsed / Math.max(MIN_PIECES, pieces) };
         this.#samples = [...this.#samples, sample].slice(-MAX_SAMPLES);
     }
 
-    /** Milliseconds a piece: the median of recent fetches. */
+    /** Returns the cost in milliseconds per piece: the median of recent fetches. */
     msPerPiece(now: Millis): Millis {
-        const fresh = this.#samples.filter(each => each.at > now - FRESH_MS);
-        const sorted = fresh.map(each => each.msPerPiece).sort((a, b) => a - b);
-        return sorted[Math.floor(sorted.length / 2)] ?? FIRST_GUESS;
+        const recent = this.#samples.filter(each => each.at > now - MAX_SAMPLE_AGE_MS);
+        const sorted = recent.map(each => each.msPerPiece).sort((a, b) => a - b);
+        return sorted[Math.floor(sorted.length / 2)] ?? DEFAULT_MS_PER_PIECE;
     }
 }
--- a/packages/daemon/src/placement/PlacementMessage.ts
+++ b/packages/daemon/src/placement/PlacementMessage.ts
@@ -4,16 +4,16 @@
 
 import type { Waiter } from "./Waiter.js";
 
-/** What the placement actor is told. */
+/** Message to the placement actor. */
 export type PlacementMessage =
     | { readonly kind: "configured"; readonly cfg: Configuration; }
     | { readonly kind: "place"; readonly waiter: Waiter; }
-    /** The caller of a waiting request is gone. */
+    /** The caller of a waiting request has disconnected. */
     | { readonly kind: "abandoned"; readonly id: RequestId; }
     | { readonly kind: "endpoint"; readonly endpoint: EndpointName; readonly event: EndpointEvent; }
     | { readonly kind: "cache-event"; readonly endpoint: EndpointName; readonly event: CacheEvent; }
     | { readonly kind: "cache-snapshot"; readonly endpoint: EndpointName; readonly snapshot: CacheSnapshot; }
-    /** Another VM makes an endpoint compute pieces, which are there from `expectedAt` on. */
+    /** A dispatch of another VM makes an endpoint compute pieces, expected to be cached at `expectedAt`. */
     | {
         readonly kind: "computing-elsewhere";
         readonly endpoint: EndpointName;
@@ -21,7 +21,7 @@
         readonly pieces: readonly PieceHash[];
         readonly expectedAt: Millis;
     }
-    /** Time has passed: work that an engine had before may be done. */
+    /** Starts calls that can start by now, as engines may have finished work, and refuses those past their deadline. */
     | { readonly kind: "tick"; }
-    /** Time to forget what has expired, and to refuse calls that cannot start in time. */
+    /** Removes what has expired, and refuses calls that cannot start in time. */
     | { readonly kind: "sweep"; };
--- a/packages/daemon/src/placement/PlacementModel.ts
+++ b/packages/daemon/src/placement/PlacementModel.ts
@@ -6,24 +6,28 @@
 import { refusalFor } from "@azureshunt/endpoint";
 import { Left, Right } from "purify-ts";
 
-import { makePlacement } from "./makePlacement.js";
+import { createPlacement } from "./createPlacement.js";
 import type { PlacementMessage } from "./PlacementMessage.js";
 import type { PlacementParts } from "./PlacementParts.js";
 import type { Waiter } from "./Waiter.js";
 
-/** How long assumed entries of the index live beyond the estimated first token, until the engine's event confirms them. */
+/**
+ * How long assumed entries of the index last after the estimated first token, unless the engine's event confirms them.
+ */
 const ASSUMED_MS = 2_000;
-/** Calls that one round of starting looks at. */
-const CHOICES_A_ROUND = 16;
-/** Bound of a fetch: some time for the connection, and this times what it is expected to take. */
-const MIN_FETCH_MS = 100;
+/** Choices made in one round of starting waiting calls. */
+const MAX_CHOICES_PER_ROUND = 16;
+/** Timeout of a fetch: a time for the connection, plus the expected time of the fetch multiplied by a factor. */
+const FETCH_CONNECT_MS = 100;
 const FETCH_FACTOR = 3;
-/** How long a call waits for any endpoint to come up before it is refused. */
-const NO_ENDPOINT_MS = 1_000;
-/** Milliseconds a token of queued work while nothing was observed. */
-const FIRST_PACE = 0.02;
+/** How long a call waits for an eligible endpoint before it is refused. */
+const MAX_NO_ENDPOINT_MS = 1_000;
+/** Assumed wait per token of queued work until waits have been observed. */
+const DEFAULT_WAIT_MS_PER_TOKEN = 0.02;
 
-/** Takes the placement actor's messages one at a time: keeps what is known of endpoints, and gives waiting calls theirs. */
+/**
+ * Handles the placement actor's messages one at a time: keeps the state of endpoints and assigns them to waiting calls.
+ */
 export class PlacementModel {
     readonly #parts: PlacementParts;
 
@@ -33,12 +37,12 @@
 
     /** Handles one message. */
     handle(message: PlacementMessage): void {
-        const { book, index, waiting } = this.#parts;
+        const { endpointTable, index, waiting } = this.#parts;
         switch (message.kind) {
             case "configured": {
-                const gone = book.configure(message.cfg, this.#parts.now());
+                const gone = endpointTable.configure(message.cfg, this.#parts.now());
                 gone.forEach(name => index.forget(name));
-                this.#parts.configured(gone);
+                this.#parts.updateWatches(gone);
                 break;
             }
             case "place":
@@ -63,11 +67,11 @@
                 break;
             case "computing-elsewhere":
                 index.assume(message.endpoint, message.incarnation, message.pieces, message.expectedAt + ASSUMED_MS);
-                this.#parts.computing.heard(message.endpoint, message.pieces, message.expectedAt);
+                this.#parts.computing.beginElsewhere(message.endpoint, message.pieces, message.expectedAt);
                 break;
             case "tick":
-                this.#expire();
-                this.#drain();
+                this.#refuseExpired();
+                this.#startWaiting();
                 break;
             case "sweep":
                 this.#sweep();
@@ -76,14 +80,14 @@
     }
 
     #apply(endpoint: EndpointName, event: EndpointEvent): void {
-        const { book, index, metrics, probe, computing } = this.#parts;
+        const { endpointTable, index, metrics, probe, computing } = this.#parts;
         if (event.kind === "first-token" || event.kind === "ended") {
             computing.end(event.dispatchId);
         }
-        book.apply(endpoint, event, this.#parts.now()).forEach(effect => {
+        endpointTable.apply(endpoint, event, this.#parts.now()).forEach(effect => {
             switch (effect.kind) {
                 case "begin-cache":
-                    metrics.runChanged();
+                    metrics.incarnationChanged();
                     index.begin(endpoint, effect.incarnation);
                     this.#parts.resync(endpoint, true);
                     break;
@@ -102,7 +106,7 @@
         const isFirst = waiting.size === 0;
         waiting.add(waiter);
         if (isFirst) {
-            this.#drain();
+            this.#startWaiting();
         }
         if (waiting.has(waiter.item.id)) {
             const choice = chooser.choose(waiter.call, waiter.tried, now());
@@ -111,12 +115,12 @@
     }
 
     /**
-     * Starts waiting calls in the queue's order until none can start. With many waiting, choices would take all of the
-     * daemon's time, so a round looks at some of them only; what is behind those comes later anyway.
+     * Starts waiting calls in the queue's order until none can start. With many calls waiting, choices would take all
+     * of the daemon's time, so the number of choices per round is limited; calls further back would start later anyway.
      */
-    #drain(): void {
+    #startWaiting(): void {
         const { waiting, chooser, now } = this.#parts;
-        const round = { left: CHOICES_A_ROUND };
+        const round = { left: MAX_CHOICES_PER_ROUND };
         const started = { candidates: [] as readonly Candidate[], chosen: undefined as Candidate | undefined };
         const canStart = (waiter: Waiter): boolean => {
             if (round.left === 0) {
@@ -129,10 +133,10 @@
             return choice?.startsNow === true;
         };
         const startNext = (): void => {
-            const before = now();
-            const waiter = waiting.take(canStart, before);
+            const startedAt = now();
+            const waiter = waiting.take(canStart, startedAt);
             if (waiter !== undefined && started.chosen !== undefined) {
-                this.#start(waiter, started.chosen, started.candidates, now() - before);
+                this.#start(waiter, started.chosen, started.candidates, now() - startedAt);
                 startNext();
             }
         };
@@ -140,24 +144,24 @@
     }
 
     #start(waiter: Waiter, chosen: Candidate, candidates: readonly Candidate[], choiceMs: Millis): void {
-        const { book, chooser, choices, metrics, now } = this.#parts;
+        const { endpointTable, chooser, choices, metrics, now } = this.#parts;
         const { call } = waiter;
         const waitedMs = now() - waiter.item.arrivedAt;
         const dispatchId = randomUUID() as string as DispatchId;
-        const state = book.stateOf(chosen.endpoint)!;
-        chooser.took();
+        const state = endpointTable.stateOf(chosen.endpoint)!;
+        chooser.countChoice();
         metrics.placed(waitedMs, choiceMs, chosen.estimate.total);
         choices.add(call.id, { at: now(), waitedMs, chosen: chosen.endpoint, candidates });
         this.#apply(chosen.endpoint, {
             kind: "dispatched",
             dispatchId,
-            prefillTokens: this.#uncached(waiter, chosen),
+            prefillTokens: this.#uncachedTokens(waiter, chosen),
             backlogTokens: chosen.load.prefillTokens,
         });
         if (state.incarnation !== undefined) {
-            this.#expectPieces(waiter, chosen, dispatchId, state.incarnation);
+            this.#assumePieces(waiter, chosen, dispatchId, state.incarnation);
         }
-        const placement = makePlacement({
+        const placement = createPlacement({
             call,
             chosen,
             dispatchId,
@@ -165,7 +169,7 @@
             incarnation: state.incarnation,
             metrics,
             now,
-            tell: event => this.#parts.tell({ kind: "endpoint", endpoint: chosen.endpoint, event }),
+            onEvent: event => this.#parts.post({ kind: "endpoint", endpoint: chosen.endpoint, event }),
         });
         if (chosen.fetch === undefined) {
             waiter.settle(Right(placement));
@@ -175,52 +179,53 @@
         }
     }
 
-    /** Lets the chosen endpoint fetch cached pieces, for no longer than computing them would take. */
+    /** Makes the chosen endpoint fetch cached pieces, for no longer than computing them would take. */
     async #fetch(waiter: Waiter, chosen: Candidate, fetch: CacheFetch): Promise<void> {
-        const { book, metrics, now } = this.#parts;
+        const { endpointTable, metrics, now } = this.#parts;
         const { target } = waiter.call;
-        const to = book.stateOf(chosen.endpoint);
-        const from = book.stateOf(fetch.from);
+        const to = endpointTable.stateOf(chosen.endpoint);
+        const from = endpointTable.stateOf(fetch.from);
         if (target.kind === "service" || to === undefined || from === undefined) {
             return;
         }
-        const begun = now();
+        const startedAt = now();
         const pieces = target.pieces.slice(0, fetch.pieces);
-        const timeoutMs = Math.ceil(MIN_FETCH_MS + FETCH_FACTOR * chosen.estimate.fetch);
+        const timeoutMs = Math.ceil(FETCH_CONNECT_MS + FETCH_FACTOR * chosen.estimate.fetch);
         const held = await this.#parts.fetch({ url: to.url, from: from.url, pieces, timeoutMs });
         const fetched = Math.max(0, held - chosen.matchedPieces);
-        this.#parts.fetches.observe(fetched, now() - begun, now());
-        metrics.fetched(fetched, fetch.pieces - chosen.matchedPieces, now() - begun);
+        this.#parts.fetches.observe(fetched, now() - startedAt, now());
+        metrics.fetched(fetched, fetch.pieces - chosen.matchedPieces, now() - startedAt);
     }
 
-    #uncached(waiter: Waiter, chosen: Candidate): number {
+    #uncachedTokens(waiter: Waiter, chosen: Candidate): number {
         const { target } = waiter.call;
         const heldPieces = chosen.fetch?.pieces ?? chosen.matchedPieces;
         return target.kind === "service" ? 0 : Math.max(1, target.promptTokens - heldPieces * target.pieceTokens);
     }
 
-    #expectPieces(waiter: Waiter, chosen: Candidate, dispatchId: DispatchId, incarnation: Incarnation): void {
+    /** Assumes in the index that the endpoint will cache the call's pieces, and announces the dispatch to other VMs. */
+    #assumePieces(waiter: Waiter, chosen: Candidate, dispatchId: DispatchId, incarnation: Incarnation): void {
         const { target } = waiter.call;
         if (target.kind === "service") {
             return;
         }
-        const { index, computing, now, announce } = this.#parts;
+        const { index, computing, now, shareDispatch } = this.#parts;
         const expiresAt = now() + chosen.estimate.total + ASSUMED_MS;
         const missing = target.pieces.slice(chosen.matchedPieces);
         index.assume(chosen.endpoint, incarnation, target.pieces, expiresAt);
         computing.begin(dispatchId, chosen.endpoint, missing, expiresAt);
-        announce({
+        shareDispatch({
             endpoint: chosen.endpoint,
             incarnation,
-            prefillTokens: this.#uncached(waiter, chosen),
+            prefillTokens: this.#uncachedTokens(waiter, chosen),
             pieces: missing,
             sentAt: now(),
             expectedMs: chosen.estimate.total,
         });
     }
 
-    /** Refuses the calls whose deadline is over. */
-    #expire(): void {
+    /** Refuses the waiting calls whose deadline has passed. */
+    #refuseExpired(): void {
         const { waiting, now } = this.#parts;
         waiting.all()
             .filter(waiter => waiter.call.deadline <= now())
@@ -238,9 +243,9 @@
     }
 
     /**
-     * Refuses a waiting call as soon as it is known that it cannot start in time.
+     * Refuses a waiting call as soon as the estimates show that it cannot start in time.
      *
-     * @param endpointWait estimated milliseconds of queue at the best endpoint, with nothing waiting here
+     * @param endpointWait estimated wait at the best endpoint, without the queue of this daemon
      */
     #refuseIfLate(waiter: Waiter, endpointWait: Millis): void {
         const refusal = this.#refusalOf(waiter, endpointWait);
@@ -251,13 +256,13 @@
     }
 
     #refusalOf(waiter: Waiter, endpointWait: Millis): Refusal | undefined {
-        const { book, waiting, now } = this.#parts;
+        const { endpointTable, waiting, now } = this.#parts;
         const { call } = waiter;
-        if (book.eligibleFor(call).length === 0) {
-            const until = Math.min(call.deadline, waiter.item.arrivedAt + NO_ENDPOINT_MS);
+        if (endpointTable.eligibleFor(call).length === 0) {
+            const until = Math.min(call.deadline, waiter.item.arrivedAt + MAX_NO_ENDPOINT_MS);
             return now() < until ? undefined : refusalOf("no-endpoint");
         }
-        const queueWait = waiting.waitOf(waiter, FIRST_PACE);
+        const queueWait = waiting.waitOf(waiter, DEFAULT_WAIT_MS_PER_TOKEN);
         return refusalFor({ now: now(), deadline: call.deadline, queueWait, endpointWait });
     }
 
--- a/packages/daemon/src/placement/PlacementParts.ts
+++ b/packages/daemon/src/placement/PlacementParts.ts
@@ -4,7 +4,7 @@
 import type { ChoiceLog } from "./ChoiceLog.js";
 import type { Chooser } from "./Chooser.js";
 import type { ComputingPieces } from "./ComputingPieces.js";
-import type { EndpointBook } from "./EndpointBook.js";
+import type { EndpointTable } from "./EndpointTable.js";
 import type { FetchCost } from "./FetchCost.js";
 import type { fetchPieces } from "./fetchPieces.js";
 import type { PlacementMessage } from "./PlacementMessage.js";
@@ -12,9 +12,9 @@
 import type { shareDispatches } from "./shareDispatches.js";
 import type { WaitingCalls } from "./WaitingCalls.js";
 
-/** What the placement model works with, and whom it tells. */
+/** Dependencies of a `PlacementModel`. */
 export type PlacementParts = {
-    readonly book: EndpointBook;
+    readonly endpointTable: EndpointTable;
     readonly index: PrefixIndex;
     readonly computing: ComputingPieces;
     readonly waiting: WaitingCalls;
@@ -22,19 +22,19 @@
     readonly choices: ChoiceLog;
     readonly metrics: ReturnType<typeof placementMetrics>;
     readonly now: () => Millis;
-    /** Brings what happens to a placement back as a message. */
-    readonly tell: (message: PlacementMessage) => void;
-    /** Asks an endpoint for its state now. */
+    /** Sends a message to the placement actor. */
+    readonly post: (message: PlacementMessage) => void;
+    /** Polls the state of an endpoint now. */
     readonly probe: (endpoint: EndpointName) => void;
-    /** Starts and stops watching endpoints after a new configuration. */
-    readonly configured: (gone: readonly EndpointName[]) => void;
-    /** Asks an endpoint for its whole cache. */
-    readonly resync: (endpoint: EndpointName, isNewRun: boolean) => void;
-    /** Tells other VMs of an endpoint's observed speed. */
+    /** Starts and stops watches of endpoints after a new configuration. */
+    readonly updateWatches: (gone: readonly EndpointName[]) => void;
+    /** Requests the complete cache of an endpoint. */
+    readonly resync: (endpoint: EndpointName, isNewIncarnation: boolean) => void;
+    /** Sends an endpoint's observed speed to other VMs. */
     readonly shareSpeed: ReturnType<typeof shareDispatches>["shareSpeed"];
     readonly fetches: FetchCost;
-    /** Makes an engine fetch cached pieces; gives how many leading pieces it holds then. */
+    /** Makes an engine fetch cached pieces, and returns how many leading pieces it then holds. */
     readonly fetch: (fetch: Parameters<typeof fetchPieces>[1]) => Promise<number>;
-    /** Tells other VMs what this one sends to an endpoint. */
-    readonly announce: ReturnType<typeof shareDispatches>["announce"];
+    /** Sends to other VMs what this one dispatches to an endpoint. */
+    readonly shareDispatch: ReturnType<typeof shareDispatches>["shareDispatch"];
 };
--- a/packages/daemon/src/placement/WaitForecast.ts
+++ b/packages/daemon/src/placement/WaitForecast.ts
@@ -2,11 +2,11 @@
 
 const MAX_SAMPLES = 31;
 
-/** Learns how long the queue takes for the work before a request, from requests that waited. */
+/** Estimates the wait in a queue from the waits of earlier requests, relative to the work queued before them. */
 export class WaitForecast {
     #samples: readonly number[] = [];
 
-    /** Notes that a request waited this long with this much work before it. */
+    /** Records how long a request waited and how much work was queued before it. */
     observe(waitedMs: Millis, workBefore: Tokens): void {
         if (workBefore > 0) {
             this.#samples = [...this.#samples, waitedMs / workBefore].slice(-MAX_SAMPLES);
@@ -14,12 +14,12 @@
     }
 
     /**
-     * Estimates the wait behind some work.
+     * Estimates the wait behind queued work from the median wait per token.
      *
-     * @param firstGuess milliseconds a token while nothing was observed
+     * @param defaultMsPerToken used until a wait has been observed
      */
-    waitFor(workBefore: Tokens, firstGuess: number): Millis {
+    waitFor(workBefore: Tokens, defaultMsPerToken: number): Millis {
         const sorted = [...this.#samples].sort((a, b) => a - b);
-        return workBefore * (sorted[Math.floor(sorted.length / 2)] ?? firstGuess);
+        return workBefore * (sorted[Math.floor(sorted.length / 2)] ?? defaultMsPerToken);
     }
 }
--- a/packages/daemon/src/placement/Waiter.ts
+++ b/packages/daemon/src/placement/Waiter.ts
@@ -5,9 +5,10 @@
 import type { Call } from "../ports/Call.js";
 import type { Placement } from "../ports/Placement.js";
 
-/** One call that waits for its endpoint. */
+/** A call that waits for an endpoint. */
 export type Waiter = {
     readonly call: Call;
+    /** Endpoints that failed this call. */
     readonly tried: readonly EndpointName[];
     readonly item: QueueItem;
     readonly settle: (result: Either<Refusal, Placement>) => void;
--- a/packages/daemon/src/placement/WaitingCalls.ts
+++ b/packages/daemon/src/placement/WaitingCalls.ts
@@ -6,30 +6,29 @@
 import type { Waiter } from "./Waiter.js";
 import { WaitForecast } from "./WaitForecast.js";
 
-/** One pool's queue, and what was learned of its pace. */
+/** The queue of a pool, with the forecast of its waits. */
 type Pool = { queue: FairQueue; readonly forecast: WaitForecast; };
 
-/** A waiting call, and the work that stood before it when it came. */
+/** A waiting call, and the work queued before it when it was added. */
 type Entry = { readonly waiter: Waiter; readonly workBefore: Tokens; };
 
-/** The calls that wait for an endpoint, one fair queue a pool. */
+/** The calls that wait for an endpoint, in one fair queue per pool. */
 export class WaitingCalls {
     readonly #pools = new Map<string, Pool>();
     readonly #entries = new Map<RequestId, Entry>();
 
-    /** How many calls wait. */
     get size(): number {
         return this.#entries.size;
     }
 
-    /** Puts a call into its pool's queue. */
+    /** Adds a call to its pool's queue. */
     add(waiter: Waiter): void {
         const pool = this.#poolFor(waiter);
         this.#entries.set(waiter.item.id, { waiter, workBefore: workBefore(pool.queue, waiter.item) });
         pool.queue = enqueue(pool.queue, waiter.item);
     }
 
-    /** Takes a call out, wherever it stands. */
+    /** Removes a call from its queue and returns it; undefined if it does not wait. */
     remove(id: RequestId): Waiter | undefined {
         const entry = this.#entries.get(id);
         if (entry !== undefined) {
@@ -40,7 +39,7 @@
         return entry?.waiter;
     }
 
-    /** Takes the next call of any pool that can start. */
+    /** Removes and returns the next call that can start, from the first pool that has one. */
     take(canStart: (waiter: Waiter) => boolean, now: Millis): Waiter | undefined {
         return [...this.#pools.values()].reduce<Waiter | undefined>(
             (found, pool) => found ?? this.#takeFrom(pool, canStart, now),
@@ -48,25 +47,23 @@
         );
     }
 
-    /** Whether a call waits. */
     has(id: RequestId): boolean {
         return this.#entries.has(id);
     }
 
-    /** All waiting calls. */
     all(): readonly Waiter[] {
         return [...this.#entries.values()].map(entry => entry.waiter);
     }
 
-    /** Estimates how long a call still waits in the queue. */
-    waitOf(waiter: Waiter, firstGuess: number): Millis {
+    /** Estimates how long a call still waits in the queue; see `WaitForecast.waitFor`. */
+    waitOf(waiter: Waiter, defaultMsPerToken: number): Millis {
         const pool = this.#poolFor(waiter);
-        return pool.forecast.waitFor(workBefore(pool.queue, waiter.item), firstGuess);
+        return pool.forecast.waitFor(workBefore(pool.queue, waiter.item), defaultMsPerToken);
     }
 
     #takeFrom(pool: Pool, canStart: (waiter: Waiter) => boolean, now: Millis): Waiter | undefined {
-        const startable = (item: QueueItem): boolean => canStart(this.#entries.get(item.id)!.waiter);
-        const { queue, item } = takeNext(pool.queue, startable);
+        const isStartable = (item: QueueItem): boolean => canStart(this.#entries.get(item.id)!.waiter);
+        const { queue, item } = takeNext(pool.queue, isStartable);
         const entry = item === undefined ? undefined : this.#entries.get(item.id);
         if (entry === undefined) {
             return undefined;
--- a/packages/daemon/src/placement/makePlacement.ts
+++ b/packages/daemon/src/placement/createPlacement.ts
@@ -5,7 +5,7 @@
 import type { Placement } from "../ports/Placement.js";
 import type { placementMetrics } from "./placementMetrics.js";
 
-/** What a placement is made from. */
+/** Inputs of a placement. */
 type PlacementInput = {
     readonly call: Call;
     readonly chosen: Candidate;
@@ -14,13 +14,13 @@
     readonly incarnation: Incarnation | undefined;
     readonly metrics: ReturnType<typeof placementMetrics>;
     readonly now: () => Millis;
-    /** Takes what happens to the try at the endpoint. */
-    readonly tell: (event: EndpointEvent) => void;
+    /** Called with the events of the try at the endpoint. */
+    readonly onEvent: (event: EndpointEvent) => void;
 };
 
-/** Makes the placement of a call at the chosen endpoint, dispatched now. */
-export function makePlacement(input: PlacementInput): Placement {
-    const { call, chosen, dispatchId, url, incarnation, metrics, now, tell } = input;
+/** Creates the placement of a call at the chosen endpoint, dispatched now. */
+export function createPlacement(input: PlacementInput): Placement {
+    const { call, chosen, dispatchId, url, incarnation, metrics, now, onEvent } = input;
     const { target } = call;
     const dispatchedAt = now();
     const heldPieces = chosen.fetch?.pieces ?? chosen.matchedPieces;
@@ -35,12 +35,12 @@
         started: (answering, cached) => {
             metrics.accepted(promptTokens, expectedCached, cached);
             const prefillTokens = cached === undefined ? undefined : promptTokens - cached;
-            tell({ kind: "accepted", dispatchId, incarnation: answering, prefillTokens });
+            onEvent({ kind: "accepted", dispatchId, incarnation: answering, prefillTokens });
         },
         firstToken: () => {
             metrics.firstToken(chosen.estimate.total, now() - dispatchedAt);
-            tell({ kind: "first-token", dispatchId });
+            onEvent({ kind: "first-token", dispatchId });
         },
-        end: outcome => tell({ kind: "ended", dispatchId, outcome }),
+        end: outcome => onEvent({ kind: "ended", dispatchId, outcome }),
     };
 }
--- a/packages/daemon/src/placement/createPlacementPort.ts
+++ b/packages/daemon/src/placement/createPlacementPort.ts
@@ -15,46 +15,46 @@
 import { ComputingPieces } from "./ComputingPieces.js";
 import { costOf } from "./costOf.js";
 import { describeEndpoint } from "./describeEndpoint.js";
-import { EndpointBook } from "./EndpointBook.js";
 import type { EndpointInfo } from "./EndpointInfo.js";
+import { EndpointTable } from "./EndpointTable.js";
 import { FetchCost } from "./FetchCost.js";
 import { fetchPieces } from "./fetchPieces.js";
 import type { PlacementMessage } from "./PlacementMessage.js";
 import { placementMetrics } from "./placementMetrics.js";
 import { PlacementModel } from "./PlacementModel.js";
 import { shareDispatches } from "./shareDispatches.js";
-import { shareEngineNews } from "./shareEngineNews.js";
+import { shareEngineUpdates } from "./shareEngineUpdates.js";
 import { startWatch } from "./startWatch.js";
 import type { Waiter } from "./Waiter.js";
 import { WaitingCalls } from "./WaitingCalls.js";
 
 const TICK_MS = 5;
 const SWEEP_MS = 250;
-/** Connections for polls; they are short. */
+/** Connections per endpoint for polls; few, as polls are short. */
 const POLL_CONNECTIONS = 2;
 const DEFAULT_WEIGHT = 1;
 
-/** Chooses endpoints, and tells what it knows of them. */
+/** Chooses endpoints, and reports their state. */
 type RunningPlacement = PlacementPort & {
     readonly stop: () => void;
     /** All declared endpoints, for `azureshunt endpoint list`. */
     readonly inspect: () => readonly EndpointInfo[];
-    /** The choices made for a request, for `azureshunt why`; undefined when it is not remembered. */
+    /** The choices made for a request, for `azureshunt why`; undefined if the request is no longer kept. */
     readonly explain: (requestId: RequestId) => readonly ChoiceRecord[] | undefined;
 };
 
-/** What other parts add to the choice. */
+/** Conditions that other parts of the daemon add to the choice. */
 type PlacementOptions = {
-    /** Whether a call may run beside what runs at an endpoint; always when left out. */
+    /** Whether a call may run at an endpoint beside the calls that run there; by default it may. */
     readonly mayShare?: (call: Call, endpoint: EndpointName) => boolean;
 };
 
-/** Starts to watch the declared endpoints and to choose among them. */
+/** Starts watching the declared endpoints and choosing among them. */
 export function createPlacementPort(ctx: DaemonContext, options: PlacementOptions = {}): RunningPlacement {
     const { clock, settings } = ctx;
     const now = clock.now;
     const logger = ctx.logger("placement");
-    const book = new EndpointBook();
+    const endpointTable = new EndpointTable();
     const index = new PrefixIndex();
     const computing = new ComputingPieces();
     const waiting = new WaitingCalls();
@@ -62,26 +62,26 @@
     const watches = new Map<EndpointName, ReturnType<typeof startWatch>>();
     const dispatcher = new Agent({ connections: POLL_CONNECTIONS });
     const streams = new Agent();
-    const fetching = new Agent();
+    const fetchDispatcher = new Agent();
 
     const fetches = new FetchCost();
     const chooser = new Chooser({
         fetches,
-        book,
+        endpointTable,
         index,
         computing,
         policy: policyOf(settings.policy),
-        holds: settings.policy === "azureshunt",
+        isQueueing: settings.policy === "azureshunt",
         random: ctx.random,
         mayShare: options.mayShare ?? (() => true),
     });
 
     const engines = (): readonly EndpointName[] =>
-        book.specs().filter(spec => spec.kind === "model").map(spec => spec.name);
-    const news = shareEngineNews(ctx, engines, {
-        onCacheEvent: (endpoint, event) => tell({ kind: "cache-event", endpoint, event }),
-        onLoad: (endpoint, report, askedAt) =>
-            tell({ kind: "endpoint", endpoint, event: { kind: "load-reported", report, askedAt } }),
+        endpointTable.specs().filter(spec => spec.kind === "model").map(spec => spec.name);
+    const engineUpdates = shareEngineUpdates(ctx, engines, {
+        onCacheEvent: (endpoint, event) => post({ kind: "cache-event", endpoint, event }),
+        onLoad: (endpoint, report, requestedAt) =>
+            post({ kind: "endpoint", endpoint, event: { kind: "load-reported", report, askedAt: requestedAt } }),
     });
 
     const watch = (spec: EndpointSpec): ReturnType<typeof startWatch> =>
@@ -91,18 +91,18 @@
             random: ctx.random,
             dispatcher,
             streams,
-            follows: () => news.follows(spec.name),
+            follows: () => engineUpdates.follows(spec.name),
             onEvent: event => {
-                tell({ kind: "endpoint", endpoint: spec.name, event });
+                post({ kind: "endpoint", endpoint: spec.name, event });
                 if (event.kind === "load-reported") {
-                    news.forwardLoad(spec.name, event.report, event.askedAt);
+                    engineUpdates.sendLoad(spec.name, event.report, event.askedAt);
                 }
             },
             onCacheEvent: event => {
-                tell({ kind: "cache-event", endpoint: spec.name, event });
-                news.forwardChange(spec.name, event);
+                post({ kind: "cache-event", endpoint: spec.name, event });
+                engineUpdates.sendChange(spec.name, event);
             },
-            onCacheSnapshot: snapshot => tell({ kind: "cache-snapshot", endpoint: spec.name, snapshot }),
+            onCacheSnapshot: snapshot => post({ kind: "cache-snapshot", endpoint: spec.name, snapshot }),
             cursor: () => ({
                 incarnation: index.incarnationOf(spec.name),
                 seq: index.seqOf(spec.name),
@@ -110,18 +110,18 @@
             }),
         });
 
-    const configured = (gone: readonly EndpointName[]): void => {
+    const updateWatches = (gone: readonly EndpointName[]): void => {
         gone.forEach(name => {
             watches.get(name)?.stop();
             watches.delete(name);
         });
-        book.specs()
+        endpointTable.specs()
             .filter(spec => !watches.has(spec.name))
             .forEach(spec => watches.set(spec.name, watch(spec)));
     };
 
     const model = new PlacementModel({
-        book,
+        endpointTable,
         index,
         computing,
         waiting,
@@ -129,14 +129,14 @@
         choices,
         metrics: placementMetrics(ctx.metrics),
         now,
-        tell: message => tell(message),
+        post: message => post(message),
         probe: name => watches.get(name)?.probe(),
-        configured,
-        resync: (name, isNewRun) => watches.get(name)?.resync(isNewRun),
+        updateWatches,
+        resync: (name, isNewIncarnation) => watches.get(name)?.resync(isNewIncarnation),
         shareSpeed: (name, msPerToken) => sharing.shareSpeed(name, msPerToken),
         fetches,
-        fetch: one => fetchPieces(fetching, one),
-        announce: work => sharing.announce(work),
+        fetch: one => fetchPieces(fetchDispatcher, one),
+        shareDispatch: work => sharing.shareDispatch(work),
     });
 
     const actor = spawn(
@@ -148,28 +148,28 @@
         "placement",
         {
             onCrash: (_message, err, crashed) => {
-                logger.error({ err }, "placement: a message could not be handled");
+                logger.error({ err }, "Handling a placement message failed: internal error.");
                 return crashed.resume;
             },
         },
     );
-    const tell = (message: PlacementMessage): void => dispatch(actor, message);
+    const post = (message: PlacementMessage): void => dispatch(actor, message);
 
-    const tickets = { next: 0 };
+    const waiterNumber = { next: 0 };
     const sharing = shareDispatches(ctx, {
-        dispatched: ({ endpoint, incarnation, prefillTokens, pieces, sentAt, expectedMs }) => {
-            tell({ kind: "endpoint", endpoint, event: { kind: "dispatched-elsewhere", prefillTokens, sentAt } });
-            tell({ kind: "computing-elsewhere", endpoint, incarnation, pieces, expectedAt: sentAt + expectedMs });
+        onDispatch: ({ endpoint, incarnation, prefillTokens, pieces, sentAt, expectedMs }) => {
+            post({ kind: "endpoint", endpoint, event: { kind: "dispatched-elsewhere", prefillTokens, sentAt } });
+            post({ kind: "computing-elsewhere", endpoint, incarnation, pieces, expectedAt: sentAt + expectedMs });
         },
-        observed: (endpoint, msPerToken) =>
-            tell({ kind: "endpoint", endpoint, event: { kind: "speed-observed", msPerToken } }),
+        onSpeed: (endpoint, msPerToken) =>
+            post({ kind: "endpoint", endpoint, event: { kind: "speed-observed", msPerToken } }),
     });
 
     const place: PlacementPort["place"] = (call, tried) =>
         new Promise<Either<Refusal, Placement>>(resolve => {
-            // A hedged request waits twice at once, so the call's own id would not do.
-            const id = `${call.id}/${tickets.next++}` as RequestId;
-            const abandon = (): void => tell({ kind: "abandoned", id });
+            // A hedged request waits twice at the same time, so the id of the call is not unique here.
+            const id = `${call.id}/${waiterNumber.next++}` as RequestId;
+            const abandon = (): void => post({ kind: "abandoned", id });
             const settle: Waiter["settle"] = result => {
                 call.signal.removeEventListener("abort", abandon);
                 resolve(result);
@@ -183,7 +183,7 @@
                 deadline: call.deadline,
                 arrivedAt: now(),
             };
-            tell({ kind: "place", waiter: { call, tried, item, settle } });
+            post({ kind: "place", waiter: { call, tried, item, settle } });
             call.signal.addEventListener("abort", abandon, { once: true });
             if (call.signal.aborted) {
                 abandon();
@@ -191,22 +191,22 @@
         });
 
     const inspect = (): readonly EndpointInfo[] =>
-        book.specs().flatMap(spec => {
-            const state = book.stateOf(spec.name);
+        endpointTable.specs().flatMap(spec => {
+            const state = endpointTable.stateOf(spec.name);
             return state === undefined ? [] : [describeEndpoint(spec, state, index.isDoubtful(spec.name), now())];
         });
 
     const unregister = [
-        ctx.release.subscribe(cfg => tell({ kind: "configured", cfg })),
+        ctx.release.subscribe(cfg => post({ kind: "configured", cfg })),
         ctx.metrics.gauge("azureshunt_queue_length", "Requests that wait for an endpoint.", () => waiting.size),
         ctx.metrics.gauge("azureshunt_index_entries", "Cached blocks known to the prefix index.", () => index.size),
         ctx.metrics.gauge("azureshunt_index_bytes", "Bytes of the prefix index.", () => index.bytes),
     ];
-    const ticks = setInterval(() => waiting.size > 0 && tell({ kind: "tick" }), TICK_MS);
-    const sweeps = setInterval(() => tell({ kind: "sweep" }), SWEEP_MS);
+    const ticks = setInterval(() => waiting.size > 0 && post({ kind: "tick" }), TICK_MS);
+    const sweeps = setInterval(() => post({ kind: "sweep" }), SWEEP_MS);
     const cfg = ctx.release.current();
     if (cfg !== undefined) {
-        tell({ kind: "configured", cfg });
+        post({ kind: "configured", cfg });
     }
 
     const stop = (): void => {
@@ -215,11 +215,11 @@
         unregister.forEach(each => each());
         watches.forEach(each => each.stop());
         sharing.stop();
-        news.stop();
+        engineUpdates.stop();
         stopActor(actor);
         void dispatcher.destroy();
         void streams.destroy();
-        void fetching.destroy();
+        void fetchDispatcher.destroy();
     };
     return { place, stop, inspect, explain: id => choices.get(id) };
 }
--- a/packages/daemon/src/placement/fetchPieces.ts
+++ b/packages/daemon/src/placement/fetchPieces.ts
@@ -6,21 +6,22 @@
 const STATUS_OK = 200;
 const Imported = z.object({ imported: z.number().int().min(0) });
 
-/** What an engine is to fetch. */
+/** A fetch of cached pieces by an engine. */
 type PieceFetch = {
-    /** The engine that fetches, and the one that it fetches from. */
+    /** URLs of the engine that fetches and of the one that it fetches from. */
     readonly url: string;
     readonly from: string;
-    /** The chain of pieces from its first one. */
+    /** The leading pieces of a prompt. */
     readonly pieces: readonly PieceHash[];
     readonly timeoutMs: number;
 };
 
 /**
- * Makes an engine fetch cached pieces from another one. The hashes hold organisation and weights, so no other cache can
- * come; a source that has lost the pieces, as after a crash, gives none and the engine computes them.
+ * Makes an engine fetch cached pieces from another one. The hashes cover organisation and weights, so the cache of
+ * another organisation or version is never fetched. A source that has lost the pieces, for example in a crash, returns
+ * none, and the engine computes them.
  *
- * @returns how many leading pieces the engine holds now; 0 when it did not say so in time
+ * @returns how many leading pieces the engine holds now; 0 if it failed or did not answer in time
  */
 export async function fetchPieces(dispatcher: Dispatcher, fetch: PieceFetch): Promise<number> {
     try {
--- a/packages/daemon/src/placement/getJson.ts
+++ b/packages/daemon/src/placement/getJson.ts
@@ -7,23 +7,23 @@
 const STATUS_OK = 200;
 
 /**
- * Fetches a JSON answer and checks its shape.
+ * Fetches a JSON answer and validates it against a schema.
  *
- * @returns Left when no answer of that shape came within the bound
+ * @returns Left if no valid answer with status 200 came within the timeout
  */
-export async function getJson<Shape extends z.ZodTypeAny>(
+export async function getJson<Schema extends z.ZodTypeAny>(
     dispatcher: Dispatcher,
     url: string,
-    shape: Shape,
+    schema: Schema,
     timeoutMs: number,
-): Promise<Either<Error, z.output<Shape>>> {
+): Promise<Either<Error, z.output<Schema>>> {
     try {
         const res = await request(url, { dispatcher, signal: AbortSignal.timeout(timeoutMs) });
         if (res.statusCode !== STATUS_OK) {
             await res.body.dump();
             return Left(new Error(`status ${res.statusCode}`));
         }
-        return Right(shape.parse(await res.body.json()) as z.output<Shape>);
+        return Right(schema.parse(await res.body.json()) as z.output<Schema>);
     }
     catch (err) {
         return Left(err instanceof Error ? err : new Error(String(err)));
--- a/packages/daemon/src/placement/placementMetrics.ts
+++ b/packages/daemon/src/placement/placementMetrics.ts
@@ -6,16 +6,16 @@
 type PlacementMetrics = {
     readonly refused: (kind: ErrorKind) => void;
     readonly placed: (waitedMs: Millis, choiceMs: Millis, estimate: Millis) => void;
-    /** The head of an answer came: tokens of the prompt, and those found cached, expected and true. */
+    /** The head of an answer has come, with the number of cached prompt tokens that the engine reports, if it does. */
     readonly accepted: (promptTokens: number, expectedCached: number, cached: number | undefined) => void;
     readonly firstToken: (estimate: Millis, observed: Millis) => void;
     /** An engine fetched cached pieces from another one. */
     readonly fetched: (pieces: number, expected: number, ms: Millis) => void;
     readonly cacheEvent: (outcome: string) => void;
-    readonly runChanged: () => void;
+    readonly incarnationChanged: () => void;
 };
 
-/** Makes the metrics of the choice of endpoints. */
+/** Creates the metrics of the choice of endpoints. */
 export function placementMetrics(metrics: Metrics): PlacementMetrics {
     const { count, record } = metrics;
     return {
@@ -48,6 +48,6 @@
         },
         cacheEvent: outcome =>
             count("azureshunt_cache_events_total", "Cache events of engines, by what became of them.", { outcome }),
-        runChanged: () => count("azureshunt_endpoint_runs_total", "Runs of endpoints that were seen to begin."),
+        incarnationChanged: () => count("azureshunt_endpoint_runs_total", "Runs of endpoints that were seen to begin."),
     };
 }
--- a/packages/daemon/src/placement/pollState.ts
+++ b/packages/daemon/src/placement/pollState.ts
@@ -8,18 +8,18 @@
 import { getJson } from "./getJson.js";
 
 const TIMEOUT_MS = 1_000;
-const PAUSE_MS = 1_000;
-/** An endpoint that is down is asked more often, so that it gets work soon after it is back. */
-const DOWN_PAUSE_MS = 150;
+const POLL_INTERVAL_MS = 1_000;
+/** An endpoint that is down or not ready is polled more often, so that it gets work soon after it is back. */
+const DOWN_POLL_INTERVAL_MS = 150;
 
-/** What an endpoint says of itself. */
+/** State that an endpoint reports. */
 type EndpointAnswer = {
     readonly incarnation: Incarnation | undefined;
     readonly ready: boolean;
     readonly holds: readonly HeldWeights[];
 };
 
-async function ask({ spec, dispatcher }: EndpointWatch): Promise<Either<Error, EndpointAnswer>> {
+async function requestState({ spec, dispatcher }: EndpointWatch): Promise<Either<Error, EndpointAnswer>> {
     if (spec.kind === "model") {
         return getJson(dispatcher, `${spec.url}/v1/state`, EngineAnswers.state, TIMEOUT_MS);
     }
@@ -27,16 +27,19 @@
     return health.map(() => ({ incarnation: undefined, ready: true, holds: [] }));
 }
 
-/** Asks an endpoint for its state once; gives the pause until the next time. */
+/** Polls the state of an endpoint once, and returns the milliseconds until the next poll. */
 export async function pollState(watch: EndpointWatch): Promise<number> {
-    const askedAt = watch.clock.now();
-    const answer = await ask(watch);
+    const requestedAt = watch.clock.now();
+    const answer = await requestState(watch);
     if (answer.isRight()) {
-        watch.onEvent({ kind: "round-trip", ms: watch.clock.now() - askedAt });
+        watch.onEvent({ kind: "round-trip", ms: watch.clock.now() - requestedAt });
     }
     watch.onEvent(answer.caseOf<EndpointEvent>({
         Left: () => ({ kind: "probe-failed" }),
-        Right: state => ({ kind: "state-reported", askedAt, ...state }),
+        Right: state => ({ kind: "state-reported", askedAt: requestedAt, ...state }),
     }));
-    return answer.caseOf({ Left: () => DOWN_PAUSE_MS, Right: ({ ready }) => ready ? PAUSE_MS : DOWN_PAUSE_MS });
+    return answer.caseOf({
+        Left: () => DOWN_POLL_INTERVAL_MS,
+        Right: ({ ready }) => ready ? POLL_INTERVAL_MS : DOWN_POLL_INTERVAL_MS,
+    });
 }
--- a/packages/daemon/src/placement/poolOf.ts
+++ b/packages/daemon/src/placement/poolOf.ts
@@ -1,6 +1,6 @@
 import type { Call } from "../ports/Call.js";
 
-/** Names the pool of endpoints that a call competes for; each pool has its own queue. */
+/** Returns the name of the pool of endpoints that a call competes for; each pool has its own queue. */
 export function poolOf(call: Call): string {
     const { target } = call;
     return target.kind === "service"
--- a/packages/daemon/src/placement/repeat.ts
+++ b/packages/daemon/src/placement/repeat.ts
@@ -1,41 +1,41 @@
 import { setTimeout as sleep } from "node:timers/promises";
 
-/** A piece of work that is repeated. */
+/** Work that is repeated. */
 type Repetition = {
-    /** Starts the next round at once. */
-    readonly hurry: () => void;
+    /** Starts the next round at once, or right after the one that is running. */
+    readonly runNow: () => void;
     readonly stop: () => void;
 };
 
 /**
- * Repeats a piece of work, one round at a time.
+ * Repeats work, one round at a time.
  *
- * @param work one round; gives the milliseconds until the next one, and must not throw
+ * @param work runs one round and returns the milliseconds until the next one; must not throw
  */
 export function repeat(work: (signal: AbortSignal) => Promise<number>): Repetition {
     const ended = new AbortController();
-    let pause = new AbortController();
-    let isHurried = false;
+    let wait = new AbortController();
+    let isRunRequested = false;
 
     const run = async (): Promise<void> => {
         while (!ended.signal.aborted) {
-            isHurried = false;
-            const pauseMs = await work(ended.signal);
-            if (!isHurried && !ended.signal.aborted) {
-                pause = new AbortController();
-                await sleep(pauseMs, undefined, { signal: pause.signal, ref: false }).catch(() => undefined);
+            isRunRequested = false;
+            const waitMs = await work(ended.signal);
+            if (!isRunRequested && !ended.signal.aborted) {
+                wait = new AbortController();
+                await sleep(waitMs, undefined, { signal: wait.signal, ref: false }).catch(() => undefined);
             }
         }
     };
     void run();
     return {
-        hurry: () => {
-            isHurried = true;
-            pause.abort();
+        runNow: () => {
+            isRunRequested = true;
+            wait.abort();
         },
         stop: () => {
             ended.abort();
-            pause.abort();
+            wait.abort();
         },
     };
 }
--- a/packages/daemon/src/placement/shareDispatches.ts
+++ b/packages/daemon/src/placement/shareDispatches.ts
@@ -8,7 +8,7 @@
 import { unpackHashes } from "./unpackHashes.js";
 
 const KIND = "dispatches";
-/** Notices that come within this time go out together. */
+/** Notices within this time are sent together. */
 const BATCH_MS = 4;
 const TIMEOUT_MS = 500;
 const NANOS_PER_MILLI = 1_000_000;
@@ -30,15 +30,15 @@
     readonly expectedMs: Millis;
 };
 
-/** What is heard from other daemons. */
-type SharingListener = {
-    readonly dispatched: (work: SentWork) => void;
-    readonly observed: (endpoint: EndpointName, msPerToken: number) => void;
+/** Callbacks for what other daemons send. */
+type DispatchListener = {
+    readonly onDispatch: (work: SentWork) => void;
+    readonly onSpeed: (endpoint: EndpointName, msPerToken: number) => void;
 };
 
-/** Tells other daemons of dispatches and of the speed of endpoints. */
+/** Sends dispatches and observed speeds of endpoints to other daemons. */
 type DispatchSharing = {
-    readonly announce: (work: SentWork) => void;
+    readonly shareDispatch: (work: SentWork) => void;
     readonly shareSpeed: (endpoint: EndpointName, msPerToken: number) => void;
     readonly stop: () => void;
 };
@@ -62,28 +62,28 @@
 });
 
 /**
- * Shares dispatches and observed speeds with the other daemons. Best effort: a notice that is lost costs some accuracy
- * of an estimate.
+ * Shares dispatches and observed speeds with the other daemons. Best effort: a lost notice only makes an estimate less
+ * accurate.
  */
-export function shareDispatches(ctx: DaemonContext, listener: SharingListener): DispatchSharing {
+export function shareDispatches(ctx: DaemonContext, listener: DispatchListener): DispatchSharing {
     const { clock, peers } = ctx;
-    let batch: readonly SentWork[] = [];
+    let dispatches: readonly SentWork[] = [];
     let speeds: readonly z.infer<typeof SpeedNotice>[] = [];
 
     const flush = (): void => {
-        const body = { dispatches: batch.map(work => noticeOf(work, clock.now())), speeds };
-        batch = [];
+        const body = { dispatches: dispatches.map(work => noticeOf(work, clock.now())), speeds };
+        dispatches = [];
         speeds = [];
         peers.peers().forEach(peer => void peers.exchange(peer.vm, KIND, body, TIMEOUT_MS));
     };
     const flushSoon = (): void => {
-        if (batch.length + speeds.length === 0) {
+        if (dispatches.length + speeds.length === 0) {
             setTimeout(flush, BATCH_MS);
         }
     };
-    const announce: DispatchSharing["announce"] = work => {
+    const shareDispatch: DispatchSharing["shareDispatch"] = work => {
         flushSoon();
-        batch = [...batch, work];
+        dispatches = [...dispatches, work];
     };
     const shareSpeed: DispatchSharing["shareSpeed"] = (endpoint, msPerToken) => {
         flushSoon();
@@ -91,9 +91,9 @@
     };
     const unregister = peers.handle(KIND, body => {
         const parsed = Dispatches.safeParse(body);
-        parsed.data?.dispatches.forEach(notice => listener.dispatched(workOf(notice, clock.now())));
-        parsed.data?.speeds.forEach(each => listener.observed(each.endpoint, each.nanosPerToken / NANOS_PER_MILLI));
+        parsed.data?.dispatches.forEach(notice => listener.onDispatch(workOf(notice, clock.now())));
+        parsed.data?.speeds.forEach(each => listener.onSpeed(each.endpoint, each.nanosPerToken / NANOS_PER_MILLI));
         return Promise.resolve({});
     });
-    return { announce, shareSpeed, stop: unregister };
+    return { shareDispatch, shareSpeed, stop: unregister };
 }
--- a/packages/daemon/src/placement/startWatch.ts
+++ b/packages/daemon/src/placement/startWatch.ts
@@ -5,57 +5,59 @@
 import { pollState } from "./pollState.js";
 import { repeat } from "./repeat.js";
 
-/** Snapshots are asked for no more often than this. */
-const MIN_RESYNC_MS = 200;
-/** How often it is looked at who follows an engine. */
-const DUTY_CHECK_MS = 100;
+/** Shortest time between two requests for the complete cache. */
+const MIN_RESYNC_INTERVAL_MS = 200;
+/** Interval of checking whether this VM follows the engine. */
+const FOLLOW_CHECK_MS = 100;
 
-/** What keeps the knowledge of one endpoint fresh. */
+/** Keeps the state of one endpoint up to date. */
 type RunningWatch = {
-    /** Asks for the endpoint's state now. */
+    /** Polls the endpoint's state now. */
     readonly probe: () => void;
-    /** Asks for the engine's whole cache soon, and opens the stream of events anew when a new run began. */
-    readonly resync: (isNewRun: boolean) => void;
+    /**
+     * Requests the engine's complete cache soon; for a new incarnation at once, and opens the stream of events again.
+     */
+    readonly resync: (isNewIncarnation: boolean) => void;
     readonly stop: () => void;
 };
 
-/** Starts to watch an endpoint: its state, and for model engines its load and cache. */
+/** Starts watching an endpoint: its state, and for model engines also its load and cache. */
 export function startWatch(watch: EndpointWatch): RunningWatch {
     const state = repeat(() => pollState(watch));
     if (watch.spec.kind !== "model") {
-        return { probe: state.hurry, resync: () => undefined, stop: state.stop };
+        return { probe: state.runNow, resync: () => undefined, stop: state.stop };
     }
     const stream = { ended: new AbortController() };
-    const load = repeat(() => watch.follows() ? pollLoad(watch) : Promise.resolve(DUTY_CHECK_MS));
+    const load = repeat(() => watch.follows() ? pollLoad(watch) : Promise.resolve(FOLLOW_CHECK_MS));
     const events = repeat(signal => {
         stream.ended = new AbortController();
         return watch.follows()
             ? followCache(watch, AbortSignal.any([signal, stream.ended.signal]))
-            : Promise.resolve(DUTY_CHECK_MS);
+            : Promise.resolve(FOLLOW_CHECK_MS);
     });
-    const duty = repeat(() => {
+    const followChecks = repeat(() => {
         if (!watch.follows()) {
             stream.ended.abort();
         }
-        return Promise.resolve(DUTY_CHECK_MS);
+        return Promise.resolve(FOLLOW_CHECK_MS);
     });
-    const snapshots = { isWanted: true };
+    const snapshot = { isWanted: true };
     const resyncs = repeat(async () => {
-        if (snapshots.isWanted || (watch.cursor().incarnation !== undefined && watch.cursor().doubtful)) {
-            snapshots.isWanted = false;
+        if (snapshot.isWanted || (watch.cursor().incarnation !== undefined && watch.cursor().doubtful)) {
+            snapshot.isWanted = false;
             await fetchCache(watch);
         }
-        return MIN_RESYNC_MS;
+        return MIN_RESYNC_INTERVAL_MS;
     });
     return {
-        probe: state.hurry,
-        resync: isNewRun => {
-            snapshots.isWanted = true;
-            if (isNewRun) {
+        probe: state.runNow,
+        resync: isNewIncarnation => {
+            snapshot.isWanted = true;
+            if (isNewIncarnation) {
                 stream.ended.abort();
-                resyncs.hurry();
+                resyncs.runNow();
             }
         },
-        stop: () => [state, load, events, duty, resyncs].forEach(each => each.stop()),
+        stop: () => [state, load, events, followChecks, resyncs].forEach(each => each.stop()),
     };
 }
--- a/packages/daemon/src/suspects/createDeathChecker.ts
+++ b/packages/daemon/src/suspects/createDeathChecker.ts
@@ -121,7 +121,7 @@
     const recordLocalDeath = async (id: string, endpoint: EndpointName): Promise<void> => {
         const running = ranHere(id, endpoint);
         metrics.count("azureshunt_endpoint_deaths_total", "Deaths of endpoints with requests running there.");
-        logger.info({ id, running }, "An endpoint died while this VM ran requests on it.");
+        logger.info({ id, running }, "An endpoint has died.");
         await recordDeath(id, endpoint, running, false);
         const gathered = gather(id, endpoint).finally(() => gathering.delete(id));
         gathering.set(id, gathered);
