--- a/packages/daemon/src/__tests__/unit/hasDied.test.ts
+++ b/packages/daemon/src/__tests__/unit/hasDied.test.ts
@@ -17,7 +17,7 @@
     readonly hasDied: boolean;
 };
 
-// If a dying engine that still accepts connections counts as alive, the request runs on and crashes a third engine.
+// If a dying engine that still accepts connections counts as alive, the request is retried and crashes a third engine.
 const cases: readonly Case[] = [
     { name: "nothing listens any more", resets: 0, answers: undefined, hasDied: true },
     { name: "it resets connections, then nothing listens", resets: 2, answers: undefined, hasDied: true },
--- a/packages/daemon/src/__tests__/unit/refuseSuspect.test.ts
+++ b/packages/daemon/src/__tests__/unit/refuseSuspect.test.ts
@@ -16,7 +16,7 @@
 const once = died(noSuspects, "d1", 0, true);
 const held = died(once, "d2", MINUTE_MS, false);
 
-// A wrong Retry-After makes the caller of a held request retry at once for ten minutes, or wait for all of these.
+// A wrong Retry-After makes the caller of a held request retry every two seconds for ten minutes, or wait all of them.
 [
     { name: "one death → not refused", state: once, at: 0, kind: undefined, retryAfterSeconds: undefined },
     {
--- a/packages/daemon/src/placement/shareEngineUpdates.ts
+++ b/packages/daemon/src/placement/shareEngineUpdates.ts
@@ -51,12 +51,12 @@
         membership.members()
             .filter(each => each.failureDomain === membership.self.failureDomain && each.vm !== self)
             .map(each => each.vm);
-    const orders = new Map<EndpointName, readonly VmId[]>();
-    const unsubscribe = membership.subscribe(() => orders.clear());
+    const rankings = new Map<EndpointName, readonly VmId[]>();
+    const unsubscribe = membership.subscribe(() => rankings.clear());
     const rankOf = (endpoint: EndpointName, vm: VmId): number => {
-        const order = orders.get(endpoint) ?? rendezvousOrder(endpoint, [self, ...domainPeers()]);
-        orders.set(endpoint, order);
-        return order.indexOf(vm);
+        const ranking = rankings.get(endpoint) ?? rendezvousOrder(endpoint, [self, ...domainPeers()]);
+        rankings.set(endpoint, ranking);
+        return ranking.indexOf(vm);
     };
 
     const follows: EngineUpdateSharing["follows"] = endpoint => {
--- a/packages/daemon/src/suspects/RunningCalls.ts
+++ b/packages/daemon/src/suspects/RunningCalls.ts
@@ -22,7 +22,9 @@
 /** Calls that this daemon runs at endpoints, and recent ones that ended when their endpoint may have died. */
 export type RunningCalls = {
     readonly add: (call: Call, place: Pick<Placement, "endpoint" | "incarnation">) => RunningCallHandle;
+    /** Calls that run now. */
     readonly all: () => readonly RunningCall[];
+    /** Calls that run at an endpoint now. */
     readonly at: (endpoint: EndpointName) => readonly Call[];
     /** Calls that run at an endpoint, or were running there when it died. */
     readonly runningAtDeath: (deathId: string, endpoint: EndpointName, now: Millis) => readonly Call[];
