--- a/packages/release/src/OrganisationSpec.ts
+++ b/packages/release/src/OrganisationSpec.ts
@@ -15,7 +15,7 @@
     /** Models and services that it may use; by default all. */
     models: z.array(ModelName).optional(),
     services: z.array(ServiceName).optional(),
-    /** Seconds since a VM last knew its configuration to be current, after which it refuses requests; by default none. */
+    /** Seconds since a VM last knew its configuration to be current after which it refuses requests; default: no limit. */
     maxStalenessSeconds: z.number().positive().optional(),
 });
 type OrganisationSpec = z.infer<typeof OrganisationSpec>;
--- a/packages/request/src/quarantine.ts
+++ b/packages/request/src/quarantine.ts
@@ -5,8 +5,8 @@
 import type { SuspectState } from "./SuspectState.js";
 
 /**
- * Quarantines a request that crashes endpoints, found by this VM or received from another. It explains the deaths during
- * which it ran, so the other requests that ran there are no longer suspects because of these deaths.
+ * Quarantines a request that crashes endpoints, found by this VM or received from another. It explains the deaths
+ * during which it ran, so the other requests that ran there are no longer suspects because of these deaths.
  */
 export function quarantine(state: SuspectState, request: RequestFingerprint, until: Millis): SuspectState {
     const knownUntil = state.quarantined.get(request) ?? until;
