--- a/packages/release/src/OrganisationSpec.ts
+++ b/packages/release/src/OrganisationSpec.ts
@@ -15,7 +15,7 @@
     /** Models and services that it may use; by default all. */
     models: z.array(ModelName).optional(),
     services: z.array(ServiceName).optional(),
-    /** Seconds since a VM last knew its configuration to be current after which it refuses requests; default: no limit. */
+    /** Its requests are refused once the configuration was not confirmed for this many seconds; by default never. */
     maxStalenessSeconds: z.number().positive().optional(),
 });
 type OrganisationSpec = z.infer<typeof OrganisationSpec>;
