--- a/packages/router/src/__tests__/support/allowanceFleet.ts
+++ b/packages/router/src/__tests__/support/allowanceFleet.ts
@@ -29,24 +29,24 @@
  * random phase.
  */
 export function allowanceFleet(parts: FleetParts): readonly Granted[] {
-    const { random, beaconIntervalMs: newsEveryMs } = parts;
+    const { random, beaconIntervalMs } = parts;
     const time = { now: 0 };
     const clock = { now: () => time.now, epoch: () => time.now };
     const organisation = organisationOf(parts.ratePerSecond, parts.burst);
     const vms = Array.from({ length: parts.vms }, (_, i) => {
-        const liveness = () => ({ peers: parts.vms - 1, unheard: [], newsMs: newsEveryMs });
+        const liveness = () => ({ peers: parts.vms - 1, silent: [], propagationMs: beaconIntervalMs });
         return { vm: `vm-${i}` as VmId, allowances: createAllowances(clock, liveness, random) };
     });
     vms.forEach(({ allowances }) => allowances.open([organisation]));
-    const phases = vms.map(() => vms.map(() => Math.floor(random() * newsEveryMs / STEP_MS) * STEP_MS));
+    const phases = vms.map(() => vms.map(() => Math.floor(random() * beaconIntervalMs / STEP_MS) * STEP_MS));
     const debt = { tokens: 0 };
     return Array.from({ length: parts.forMs / STEP_MS }, (_, step) => {
         time.now = step * STEP_MS;
         vms.forEach(({ vm, allowances }, i) => {
             vms.forEach((other, j) => {
-                if (i !== j && time.now % newsEveryMs === phases[i]?.[j]) {
-                    const beacon = { vm, upMs: time.now, spent: allowances.spent(), passedSpent: [] };
-                    other.allowances.hear(beacon as unknown as Beacon, "relay", false);
+                if (i !== j && time.now % beaconIntervalMs === phases[i]?.[j]) {
+                    const beacon = { vm, upMs: time.now, spent: allowances.spent(), relayedSpent: [] };
+                    other.allowances.applyBeacon(beacon as unknown as Beacon, "relay", false);
                 }
             });
         });
@@ -57,7 +57,7 @@
             const vm = vms[Math.floor(random() * vms.length)];
             debt.tokens -= tokens;
             seen.asked += tokens;
-            vm?.allowances.noteDemand(organisation, tokens);
+            vm?.allowances.recordDemand(organisation, tokens);
             seen.granted += vm?.allowances.spend(organisation, tokens).isRight() === true ? tokens : 0;
         }
         return { at: time.now, ...seen };
--- a/packages/router/src/__tests__/support/createVirtualTime.ts
+++ b/packages/router/src/__tests__/support/createVirtualTime.ts
@@ -5,7 +5,7 @@
 type VirtualTime = {
     readonly clock: Clock;
     /** Runs a function after a delay; returns a function that cancels it. */
-    readonly later: (delayMs: Millis, run: () => void) => () => void;
+    readonly schedule: (delayMs: Millis, run: () => void) => () => void;
     /**
      * Runs all timers that are due up to `end` in order of time; those due at the same time run in the order they were
      * set.
@@ -17,7 +17,7 @@
 export function createVirtualTime(): VirtualTime {
     const time = { now: 0 };
     const timers: Timer[] = [];
-    const later: VirtualTime["later"] = (delayMs, run) => {
+    const schedule: VirtualTime["schedule"] = (delayMs, run) => {
         const timer = { at: time.now + delayMs, run };
         const place = timers.findIndex(({ at }) => at > timer.at);
         timers.splice(place < 0 ? timers.length : place, 0, timer);
@@ -35,5 +35,5 @@
             timer.run();
         }
     };
-    return { clock: { now: () => time.now, epoch: () => time.now }, later, runUntil };
+    return { clock: { now: () => time.now, epoch: () => time.now }, schedule, runUntil };
 }
--- a/packages/router/src/__tests__/support/organisationOf.ts
+++ b/packages/router/src/__tests__/support/organisationOf.ts
@@ -12,6 +12,6 @@
         countsRequests: false,
         ratePerSecond,
         burst,
-        plainTokens: 1,
+        defaultTokens: 1,
     };
 }
--- a/packages/router/src/__tests__/support/relayFleet.ts
+++ b/packages/router/src/__tests__/support/relayFleet.ts
@@ -6,11 +6,11 @@
 import { collectRelayedSums } from "../../peers/collectRelayedSums.js";
 import { createBeaconExchange } from "../../peers/createBeaconExchange.js";
 import { createMembership } from "../../peers/createMembership.js";
-import { createOthersLoad } from "../../peers/createOthersLoad.js";
-import { createPassing } from "../../peers/createPassing.js";
-import type { Heard } from "../../peers/Heard.js";
+import { createPeerLoad } from "../../peers/createPeerLoad.js";
+import { createRelayBuffer } from "../../peers/createRelayBuffer.js";
 import type { ListedVm } from "../../peers/ListedVm.js";
 import type { LocalState } from "../../peers/LocalState.js";
+import type { ReceivedBeacon } from "../../peers/ReceivedBeacon.js";
 import { createVirtualTime } from "./createVirtualTime.js";
 import { listedVm } from "./listedVm.js";
 
@@ -21,10 +21,10 @@
     readonly listed: ListedVm;
     readonly membership: ReturnType<typeof createMembership>;
     readonly allowances: ReturnType<typeof createAllowances>;
-    readonly othersLoad: ReturnType<typeof createOthersLoad>;
+    readonly peerLoad: ReturnType<typeof createPeerLoad>;
     readonly exchange: Exchange;
     /** State that this VM sends; tests change it. */
-    readonly news: { current: () => Partial<LocalState>; cached: Beacon["cached"]; };
+    readonly localState: { current: () => Partial<LocalState>; cached: Beacon["cached"]; };
     /** Prompt parts that it has received, as `holder/key`. */
     readonly receivedParts: Set<string>;
 };
@@ -39,13 +39,13 @@
     readonly isOpen?: (from: ListedVm, to: ListedVm) => boolean;
     readonly organisations?: readonly Organisation[];
     readonly onStart?: (vm: FleetVm) => void;
-    readonly onHeard?: (vm: VmId, heard: Heard) => void;
+    readonly onReceived?: (vm: VmId, received: ReceivedBeacon) => void;
 };
 
 /** Simulated VMs in virtual time. */
 type RelayFleet = {
     readonly clock: Clock;
-    readonly later: ReturnType<typeof createVirtualTime>["later"];
+    readonly schedule: ReturnType<typeof createVirtualTime>["schedule"];
     readonly runUntil: (end: Millis) => void;
     /** The running VMs. */
     readonly vms: () => readonly FleetVm[];
@@ -68,7 +68,7 @@
  * Simulates VMs that send beacons to each other, in virtual time, with the router's own parts; all start within 0.3 s.
  */
 export function relayFleet(parts: FleetParts): RelayFleet {
-    const { clock, later, runUntil } = createVirtualTime();
+    const { clock, schedule, runUntil } = createVirtualTime();
     const running = new Map<VmId, FleetVm>();
     const byAddress = new Map<string, VmId>();
     const list = new Map<VmId, ListedVm>();
@@ -86,24 +86,27 @@
             return;
         }
         // Received by the process that runs when the datagram arrives.
-        later(LATENCY_MS + parts.random(), () => running.get(to.listed.vm)?.exchange.receive(datagram, from.address));
+        schedule(
+            LATENCY_MS + parts.random(),
+            () => running.get(to.listed.vm)?.exchange.receive(datagram, from.address),
+        );
     };
     const start = (listed: ListedVm): void => {
         const { vm, failureDomain, capacity, address } = listed;
         traffic.starts += 1;
         const incarnation = `run-${traffic.starts}` as Incarnation;
         const membership = createMembership(clock, { vm, incarnation, failureDomain, capacity, seeds: [] });
-        const allowances = createAllowances(clock, membership.hearing, parts.random);
+        const allowances = createAllowances(clock, membership.liveness, parts.random);
         allowances.open(parts.organisations ?? []);
         const { isRelay, roleOf } = membership;
-        const othersLoad = createOthersLoad({ clock, failureDomain, isRelay, roleOf });
-        const passing = createPassing({
+        const peerLoad = createPeerLoad({ clock, failureDomain, isRelay, roleOf });
+        const relayBuffer = createRelayBuffer({
             clock,
             vm,
             relays: membership.relays,
-            newsEveryMs: membership.newsEveryMs,
+            beaconIntervalMs: membership.beaconIntervalMs,
         });
-        const news: FleetVm["news"] = { current: () => ({}), cached: [] };
+        const localState: FleetVm["localState"] = { current: () => ({}), cached: [] };
         const receivedParts = new Set<string>();
         list.set(vm, listed);
         byAddress.set(address, vm);
@@ -111,11 +114,11 @@
         const exchange = createBeaconExchange({
             clock,
             schedule: (delayMs, run) =>
-                later(delayMs, () => running.get(vm)?.exchange === exchange ? run() : undefined),
+                schedule(delayMs, () => running.get(vm)?.exchange === exchange ? run() : undefined),
             self: { vm, incarnation, failureDomain, capacity },
             targets: membership.targets,
             usualTargets: membership.usualTargets,
-            intervalMs: membership.newsEveryMs,
+            intervalMs: membership.beaconIntervalMs,
             memberFields: membership.memberFields,
             localState: () => ({
                 revision: -1,
@@ -127,21 +130,21 @@
                 engineVersions: [],
                 lease: undefined,
                 deaths: [],
-                stopped: [],
+                quarantined: [],
                 registry: undefined,
                 hasStore: true,
-                ...news.current(),
+                ...localState.current(),
             }),
-            ordered: scope => scope === "domain" || scope === "fleet" ? passing.ordered(scope) : [],
+            ordered: scope => scope === "domain" || scope === "fleet" ? relayBuffer.ordered(scope) : [],
             drainCached: () => {
-                const taken = news.cached;
-                news.cached = [];
+                const taken = localState.cached;
+                localState.cached = [];
                 return taken;
             },
-            drainRelayed: passing.drainCached,
-            relayedSums: scope => collectRelayedSums({ allowances, membership, othersLoad }, scope),
+            drainRelayed: relayBuffer.drainCached,
+            relayedSums: scope => collectRelayedSums({ allowances, membership, peerLoad }, scope),
             relayedLoadChanges: scope =>
-                scope === "domain" || scope === "fleet" ? othersLoad.relayedLoadChanges(scope) : () => [],
+                scope === "domain" || scope === "fleet" ? peerLoad.relayedLoadChanges(scope) : () => [],
             send: (datagram, to) => deliver(listed, datagram, to),
             onBeacon: (beacon, from) => {
                 const accepted = membership.applyBeacon(beacon, from);
@@ -151,19 +154,19 @@
                 const isRestarted = accepted.previous !== undefined &&
                     accepted.previous.incarnation !== beacon.incarnation;
                 const role = membership.roleOf(beacon.vm);
-                allowances.hear(beacon, role, isRestarted);
-                othersLoad.applyBeacon(beacon);
-                passing.applyBeacon(beacon, role);
+                allowances.applyBeacon(beacon, role, isRestarted);
+                peerLoad.applyBeacon(beacon);
+                relayBuffer.applyBeacon(beacon, role);
                 beacon.cached.forEach(([holder, rows]) =>
                     rows.forEach(({ key }) => receivedParts.add(`${holder}/${key}`))
                 );
-                parts.onHeard?.(vm, accepted.received);
+                parts.onReceived?.(vm, accepted.received);
             },
             onUnreadable: () => {
                 throw new Error("a datagram cannot be decoded");
             },
         });
-        const started = { listed, membership, allowances, othersLoad, exchange, news, receivedParts };
+        const started = { listed, membership, allowances, peerLoad, exchange, localState, receivedParts };
         running.set(vm, started);
         parts.onStart?.(started);
     };
@@ -171,11 +174,11 @@
         { length: parts.domains },
         (_, domain) => Array.from({ length: parts.vmsPerDomain }, (_, number) => listedVm(domain, number)),
     ).flat();
-    each.forEach(listed => later(parts.random() * START_SPREAD_MS, () => start(listed)));
+    each.forEach(listed => schedule(parts.random() * START_SPREAD_MS, () => start(listed)));
 
     return {
         clock,
-        later,
+        schedule,
         runUntil,
         vms: () => [...running.values()],
         vm: name => {
--- a/packages/router/src/__tests__/support/routingOf.ts
+++ b/packages/router/src/__tests__/support/routingOf.ts
@@ -29,7 +29,7 @@
     countsRequests: false,
     ratePerSecond: undefined,
     burst: 0,
-    plainTokens: 1,
+    defaultTokens: 1,
 };
 
 /** Returns a configuration with one organisation, whose key is `key`. */
--- a/packages/router/src/__tests__/support/evidenceFleet.ts
+++ b/packages/router/src/__tests__/support/simulateFreshness.ts
@@ -1,10 +1,10 @@
 import type { Millis, VmId } from "@azureshunt/core";
 
 import { declarationsDueIn } from "../../knowledge/declarationsDueIn.js";
-import type { Knowledge } from "../../knowledge/Knowledge.js";
-import { noKnowledge } from "../../knowledge/noKnowledge.js";
+import type { DeclaredState } from "../../knowledge/DeclaredState.js";
+import { initialDeclaredState } from "../../knowledge/initialDeclaredState.js";
 import { readerWaitMs } from "../../knowledge/readerWaitMs.js";
-import { stepKnowledge } from "../../knowledge/stepKnowledge.js";
+import { stepDeclaredState } from "../../knowledge/stepDeclaredState.js";
 import { relayFleet } from "./relayFleet.js";
 import { routingOf } from "./routingOf.js";
 
@@ -16,7 +16,7 @@
     /** Fraction of beacons that are lost. */
     readonly loss: number;
     /** Whether the store refuses a VM; VMs are numbered across the failure domains in rotation. */
-    readonly isTurnedAway: (vm: number, now: Millis) => boolean;
+    readonly isRefused: (vm: number, now: Millis) => boolean;
 };
 
 /** What was measured after the VMs had settled. */
@@ -24,12 +24,12 @@
     /** Maximum age of the configuration on any VM that the store does not refuse. */
     readonly oldestMs: Millis;
     /** The same on any VM that the store refuses. */
-    readonly oldestTurnedAwayMs: Millis;
+    readonly oldestRefusedMs: Millis;
     readonly readsPerSecond: number;
 };
 
 type SimulatedVm = ReturnType<ReturnType<typeof relayFleet>["vm"]>;
-type VmState = { knowledge: Knowledge; storeAt: Millis; askedAt: Millis; readonly number: number; };
+type VmState = { declaredState: DeclaredState; storeAt: Millis; requestedAt: Millis; readonly number: number; };
 
 const SETTLED_MS = 6_000;
 /** Time after which the router checks again whether a read is due. */
@@ -40,8 +40,8 @@
 const REVISION = 1;
 
 /** Runs VMs in virtual time that read declarations in rotation and confirm them to each other; none is new. */
-export function evidenceFleet(parts: SimulationParts): SimulationResult {
-    const measured = { oldestMs: 0, oldestTurnedAwayMs: 0, reads: 0 };
+export function simulateFreshness(parts: SimulationParts): SimulationResult {
+    const measured = { oldestMs: 0, oldestRefusedMs: 0, reads: 0 };
     const states = new Map<VmId, VmState>();
 
     const fleet = relayFleet({
@@ -50,7 +50,7 @@
         random: parts.random,
         loss: parts.loss,
         onStart: vm => startReading(vm),
-        onHeard: (vm, { beacon, sentAfter, stampedAt }) => {
+        onReceived: (vm, { beacon, sentAfter, stampedAt }) => {
             const state = states.get(vm);
             if (state !== undefined && beacon.confirmedMs !== undefined) {
                 const asOf = sentAfter - beacon.confirmedMs;
@@ -58,45 +58,50 @@
             }
         },
     });
-    const { clock, later } = fleet;
-    const apply = (state: VmState, event: Parameters<typeof stepKnowledge>[1]): void => {
-        state.knowledge = stepKnowledge(state.knowledge, event, clock.now());
+    const { clock, schedule } = fleet;
+    const apply = (state: VmState, event: Parameters<typeof stepDeclaredState>[1]): void => {
+        state.declaredState = stepDeclaredState(state.declaredState, event, clock.now());
     };
-    const startReading = ({ listed, membership, news }: SimulatedVm): void => {
+    const startReading = ({ listed, membership, localState }: SimulatedVm): void => {
         const [, domain, place] = listed.vm.split("-");
         const number = Number(place) * parts.domains + Number(domain);
-        const state: VmState = { knowledge: noKnowledge, storeAt: -Infinity, askedAt: -Infinity, number };
+        const state: VmState = {
+            declaredState: initialDeclaredState,
+            storeAt: -Infinity,
+            requestedAt: -Infinity,
+            number,
+        };
         states.set(listed.vm, state);
-        news.current = () => ({
+        localState.current = () => ({
             revision: REVISION,
-            confirmedMs: state.knowledge.confirmedAt === -Infinity
+            confirmedMs: state.declaredState.confirmedAt === -Infinity
                 ? undefined
-                : clock.now() - state.knowledge.confirmedAt,
+                : clock.now() - state.declaredState.confirmedAt,
             hasStore: clock.now() - state.storeAt < STORE_SEEN_MS,
         });
         const read = (): void => {
             const isReader = membership.isDomainReader();
             const dueIn = declarationsDueIn(
-                { knowledge: state.knowledge, askedAt: state.askedAt, isReader },
+                { declaredState: state.declaredState, requestedAt: state.requestedAt, isReader },
                 clock.now(),
             );
             if (dueIn > 0) {
-                later(Math.min(dueIn, RECHECK_MS), read);
+                schedule(Math.min(dueIn, RECHECK_MS), read);
                 return;
             }
-            const askedAt = clock.now();
+            const requestedAt = clock.now();
             measured.reads += clock.now() > SETTLED_MS ? 1 : 0;
-            if (parts.isTurnedAway(number, clock.now())) {
-                later(RETRY_MS, read);
+            if (parts.isRefused(number, clock.now())) {
+                schedule(RETRY_MS, read);
                 return;
             }
-            const isFirst = state.knowledge.configuration === undefined;
-            const waitMs = isReader && !isFirst ? readerWaitMs(membership.newsEveryMs()) : 0;
-            later(CALL_MS + waitMs, () => {
+            const isFirst = state.declaredState.configuration === undefined;
+            const waitMs = isReader && !isFirst ? readerWaitMs(membership.beaconIntervalMs()) : 0;
+            schedule(CALL_MS + waitMs, () => {
                 state.storeAt = clock.now();
-                state.askedAt = askedAt;
+                state.requestedAt = requestedAt;
                 apply(state, { kind: "configuration", configuration: routingOf(REVISION, []) });
-                apply(state, { kind: "confirmed", revision: REVISION, asOf: askedAt, stampedAt: askedAt });
+                apply(state, { kind: "confirmed", revision: REVISION, asOf: requestedAt, stampedAt: requestedAt });
                 read();
             });
         };
@@ -104,20 +109,20 @@
     };
     const measure = (): void => {
         if (clock.now() > SETTLED_MS) {
-            states.forEach(({ knowledge, number }) => {
-                const ageMs = clock.now() - knowledge.confirmedAt;
-                const key = parts.isTurnedAway(number, clock.now()) ? "oldestTurnedAwayMs" : "oldestMs";
+            states.forEach(({ declaredState, number }) => {
+                const ageMs = clock.now() - declaredState.confirmedAt;
+                const key = parts.isRefused(number, clock.now()) ? "oldestRefusedMs" : "oldestMs";
                 measured[key] = Math.max(measured[key], ageMs);
             });
         }
-        later(RECHECK_MS, measure);
+        schedule(RECHECK_MS, measure);
     };
     measure();
     fleet.runUntil(parts.forMs);
-    const { oldestMs, oldestTurnedAwayMs, reads } = measured;
+    const { oldestMs, oldestRefusedMs, reads } = measured;
     return {
         oldestMs,
-        oldestTurnedAwayMs,
+        oldestRefusedMs,
         readsPerSecond: reads * 1_000 / (parts.forMs - SETTLED_MS),
     };
 }
--- a/packages/router/src/__tests__/unit/admitRequest.test.ts
+++ b/packages/router/src/__tests__/unit/admitRequest.test.ts
@@ -1,21 +1,21 @@
 import test from "ava";
 
-import type { Knowledge } from "../../knowledge/Knowledge.js";
-import { noKnowledge } from "../../knowledge/noKnowledge.js";
+import type { DeclaredState } from "../../knowledge/DeclaredState.js";
+import { initialDeclaredState } from "../../knowledge/initialDeclaredState.js";
 import { admitRequest } from "../../serve/admitRequest.js";
 import { routingOf } from "../support/routingOf.js";
 
-const BOUNDS = { keysMs: 4_400, denialMs: 2_000 };
-const declaredState: Knowledge = {
-    ...noKnowledge,
+const BOUNDS = { maxAgeForKeysMs: 4_400, maxAgeForDenialMs: 2_000 };
+const declaredState: DeclaredState = {
+    ...initialDeclaredState,
     configuration: routingOf(3, [{ pathPrefix: "/x/" }, { pathPrefix: "/open/", isPublic: true }]),
-    heardRevision: 3,
+    newestRevision: 3,
     confirmedAt: 10_000,
 };
 
 type Case = {
     readonly name: string;
-    readonly declaredState?: Partial<Knowledge>;
+    readonly declaredState?: Partial<DeclaredState>;
     readonly target?: string;
     readonly key?: string | undefined;
     readonly arrivedAt?: number;
@@ -48,7 +48,7 @@
     {
         name: "a route is not denied if a newer revision is known to exist",
         target: "/y/",
-        declaredState: { heardRevision: 4 },
+        declaredState: { newestRevision: 4 },
         outcome: "configuration-too-old",
     },
     {
--- a/packages/router/src/__tests__/unit/allowance.test.ts
+++ b/packages/router/src/__tests__/unit/allowance.test.ts
@@ -36,8 +36,8 @@
         const now = tick * TICK_MS;
         const spent = { tokens: 0 };
         state.all = state.all.map((allowance, i) => {
-            const unheard = names.filter((_, j) => j !== i && tick - (lastReceived[i]?.[j] ?? 0) > 3 * BEACON_TICKS);
-            const ready = advanceShared(allowance, { peers: VMS - 1, unheard }, now);
+            const silent = names.filter((_, j) => j !== i && tick - (lastReceived[i]?.[j] ?? 0) > 3 * BEACON_TICKS);
+            const ready = advanceShared(allowance, { peers: VMS - 1, silent }, now);
             const [next, tokens] = spend(ready, wants[i] ?? 0);
             spent.tokens += tokens;
             return next;
@@ -72,8 +72,8 @@
                 const spent = simulate(demand, tick => tick >= from && tick < from + length);
                 const window = 160;
                 const delayed = (BEACON_TICKS + 1) * VMS * 60;
-                const unheard = 3 * BEACON_TICKS * TICK_MS / 1_000 * RATE;
-                const bound = RATE * window * TICK_MS / 1_000 + BURST + delayed + 2 * unheard;
+                const silent = 3 * BEACON_TICKS * TICK_MS / 1_000 * RATE;
+                const bound = RATE * window * TICK_MS / 1_000 + BURST + delayed + 2 * silent;
                 return spent.every((_, i) => spent.slice(i, i + window).reduce((a, b) => a + b, 0) <= bound);
             },
         ),
@@ -85,16 +85,16 @@
 // The remaining VM refuses an organisation within its rate, as VMs that are gone keep their shares.
 test("allowance: a VM alone gets the whole rate once the others count as gone", t => {
     const start = openSharedAllowance(RATE, BURST, 0);
-    const unheard = ["b", "c", "d"] as VmId[];
-    const alone = advanceShared(start, { peers: 3, unheard }, 1_000);
+    const silent = ["b", "c", "d"] as VmId[];
+    const alone = advanceShared(start, { peers: 3, silent }, 1_000);
     t.is(alone.level, RATE / 4);
-    t.is(advanceShared(alone, { peers: 0, unheard: [] }, 1_500).level, RATE / 4 + RATE / 2);
+    t.is(advanceShared(alone, { peers: 0, silent: [] }, 1_500).level, RATE / 4 + RATE / 2);
 });
 
 test("allowance: spending assumed during silence is not debited twice, and a refund reaches the other VMs", t => {
     const peer = "b" as VmId;
     const opened = receiveSpending(openSharedAllowance(RATE, BURST, 0), peer, 100, false);
-    const apart = advanceShared(opened, { peers: 1, unheard: [peer] }, 1_000);
+    const apart = advanceShared(opened, { peers: 1, silent: [peer] }, 1_000);
     t.is(apart.level, 500);
     t.is(receiveSpending(apart, peer, 500, false).level, 500);
     t.is(receiveSpending(apart, peer, 700, false).level, 400);
@@ -103,7 +103,7 @@
 });
 
 test("allowance: a refund restores tokens and shrinks the sent counter; a lower burst applies at once", t => {
-    const full = advanceShared(openSharedAllowance(RATE, BURST, 0), { peers: 0, unheard: [] }, 5_000);
+    const full = advanceShared(openSharedAllowance(RATE, BURST, 0), { peers: 0, silent: [] }, 5_000);
     const [spent] = spend(full, 400);
     t.is(spent.level, 600);
     t.is(refundShared(spent, 400).level, 1_000);
@@ -113,8 +113,8 @@
 
 // VMs that have just started refuse an organisation within its rate and burst.
 test("allowance: right after a start, two large requests within rate and burst are not refused", t => {
-    const unheard = Array.from({ length: 6 }, (_, i) => `vm${i}` as VmId);
-    const ready = advanceShared(openSharedAllowance(RATE, BURST, 0), { peers: 6, unheard }, 100);
+    const silent = Array.from({ length: 6 }, (_, i) => `vm${i}` as VmId);
+    const ready = advanceShared(openSharedAllowance(RATE, BURST, 0), { peers: 6, silent }, 100);
     const [after, first] = spend(ready, 50);
     const [, second] = spend(after, 50);
     t.deepEqual([first, second], [50, 50]);
@@ -129,8 +129,8 @@
         const spent = { tokens: 0 };
         wants.forEach((want, tick) => {
             life.forEach((allowance, i) => {
-                const unheard = names.filter((_, j) => j !== i);
-                const ready = advanceShared(allowance, { peers: VMS - 1, unheard }, tick * TICK_MS);
+                const silent = names.filter((_, j) => j !== i);
+                const ready = advanceShared(allowance, { peers: VMS - 1, silent }, tick * TICK_MS);
                 const [next, tokens] = spend(ready, want);
                 life[i] = next;
                 spent.tokens += tokens;
@@ -150,10 +150,10 @@
 
 test("allowance: a VM that does not know the number of VMs may not overdraw", t => {
     const start = openSharedAllowance(RATE, BURST, 0);
-    t.is(advanceShared(start, { peers: 0, unheard: [], isPartial: true }, 0).overdraft, 0);
-    t.is(advanceShared(start, { peers: 0, unheard: [] }, 0).overdraft, BURST / 2);
-    t.is(advanceShared(start, { peers: 3, unheard: [] }, 5_000).overdraft, BURST / 16);
-    t.is(advanceShared(start, { peers: 3, unheard: [] }, 10_000).overdraft, 0);
+    t.is(advanceShared(start, { peers: 0, silent: [], isPartial: true }, 0).overdraft, 0);
+    t.is(advanceShared(start, { peers: 0, silent: [] }, 0).overdraft, BURST / 2);
+    t.is(advanceShared(start, { peers: 3, silent: [] }, 5_000).overdraft, BURST / 16);
+    t.is(advanceShared(start, { peers: 3, silent: [] }, 10_000).overdraft, 0);
 });
 
 // A restarted VM debits all that the others ever spent, and refuses organisations within their rate.
@@ -165,7 +165,7 @@
     test(`allowance: what another VM spent before this one started is not debited: ${name}`, t => {
         const other = "vm1" as VmId;
         const opened = openSharedAllowance(RATE, BURST, 0);
-        const waited = advanceShared(opened, { peers: 1, unheard: [other] }, silentMs);
+        const waited = advanceShared(opened, { peers: 1, silent: [other] }, silentMs);
         const received = receiveSpending(waited, other, 50 * BURST, false);
         t.is(received.level, waited.level);
         // After the first counter, every further token is debited.
@@ -186,14 +186,14 @@
         const other = "vm1" as VmId;
         const allowances = createAllowances(
             clock,
-            () => ({ peers: 1, unheard: time.now < 300 ? [other] : [], newsMs: 200 }),
+            () => ({ peers: 1, silent: time.now < 300 ? [other] : [], propagationMs: 200 }),
             () => 0,
         );
         const organisation = organisationOf(RATE, BURST);
         allowances.open([organisation]);
         time.now = 300;
-        const beacon = { vm: other, upMs, spent: [[organisation.id, 50 * BURST, 0]], passedSpent: [] };
-        allowances.hear(beacon as unknown as Beacon, "relay", false);
+        const beacon = { vm: other, upMs, spent: [[organisation.id, 50 * BURST, 0]], relayedSpent: [] };
+        allowances.applyBeacon(beacon as unknown as Beacon, "relay", false);
         t.is(allowances.spend(organisation, 1).isRight(), !counts);
     });
 });
@@ -206,7 +206,7 @@
 silences.forEach(({ name, isSilent, debit }) => {
     test(`allowances: a counter ${name}`, t => {
         const peer = "vm1" as VmId;
-        const liveness = (unheard: readonly VmId[]) => ({ peers: 1, unheard });
+        const liveness = (silent: readonly VmId[]) => ({ peers: 1, silent });
         const filled = advanceShared(openSharedAllowance(RATE, BURST, 0), liveness([]), 1_000);
         const received = receiveSpending(filled, peer, 100, false);
         const silent = isSilent ? advanceShared(received, liveness([peer]), 1_200) : received;
--- a/packages/router/src/__tests__/unit/allowanceQueue.test.ts
+++ b/packages/router/src/__tests__/unit/allowanceQueue.test.ts
@@ -13,7 +13,7 @@
 /** Creates a clock that a test advances, with the functions scheduled on it. */
 const createTime = () => {
     const state = { now: 0, waiting: [] as { readonly at: number; readonly run: () => void; }[] };
-    const later = (delayMs: number, run: () => void): void => {
+    const schedule = (delayMs: number, run: () => void): void => {
         state.waiting = [...state.waiting, { at: state.now + delayMs, run }].toSorted((a, b) => a.at - b.at);
     };
     const advanceTo = (now: number): void => {
@@ -27,16 +27,16 @@
         first.run();
         advanceTo(now);
     };
-    return { clock: { now: () => state.now, epoch: () => state.now }, later, advanceTo };
+    return { clock: { now: () => state.now, epoch: () => state.now }, schedule, advanceTo };
 };
 
 const start = () => {
     const time = createTime();
     // Another VM is listed but silent, and the list is partial, as after a restart of all VMs: nothing may be
     // overdrawn.
-    const liveness = () => ({ peers: 1, unheard: ["other" as VmId], isPartial: true, newsMs: 200 });
+    const liveness = () => ({ peers: 1, silent: ["other" as VmId], isPartial: true, propagationMs: 200 });
     const allowances = createAllowances(time.clock, liveness, () => 0);
-    const queue = createAllowanceQueue({ clock: time.clock, allowances, later: time.later });
+    const queue = createAllowanceQueue({ clock: time.clock, allowances, schedule: time.schedule });
     const outcomes: string[] = [];
     const ask = (name: string, id: string, signal: AbortSignal = new AbortController().signal): void => {
         const waitsUntil = time.clock.now() + WAIT_MS;
--- a/packages/router/src/__tests__/unit/beaconPacer.test.ts
+++ b/packages/router/src/__tests__/unit/beaconPacer.test.ts
@@ -19,7 +19,7 @@
 
 /** Runs rounds and urgent sends in virtual time; returns what was sent to which target, and when. */
 const play = (targets: number, updatesAt: readonly number[], forMs: number): readonly Sent[] => {
-    const { clock, later: schedule, runUntil } = createVirtualTime();
+    const { clock, schedule, runUntil } = createVirtualTime();
     const sent: Sent[] = [];
     const all = Array.from({ length: targets }, (_, i) => i);
     const send = (bytes: number) => (batch: readonly number[]): void =>
--- a/packages/router/src/__tests__/unit/callerServer.test.ts
+++ b/packages/router/src/__tests__/unit/callerServer.test.ts
@@ -8,7 +8,7 @@
 
 import type { CallerWire } from "../../ports/CallerWire.js";
 import type { RouterSettings } from "../../RouterSettings.js";
-import { startFront } from "../../serve/startFront.js";
+import { startCallerServer } from "../../serve/startCallerServer.js";
 
 const callerWire = {
     encodeRefusal: () => ({ headers: [], body: "" }),
@@ -27,7 +27,7 @@
     const listen = { callers: `127.0.0.1:${callers}`, ready: `127.0.0.1:${ready}`, peers: "", metrics: "" };
     const release: (() => void)[] = [];
     const handled = { requests: 0 };
-    const callerServer = await startFront({
+    const callerServer = await startCallerServer({
         settings: {
             vm: VmId.parse("vm"),
             failureDomain: FailureDomain.parse("fd"),
--- a/packages/router/src/__tests__/unit/dispatch.test.ts
+++ b/packages/router/src/__tests__/unit/dispatch.test.ts
@@ -28,10 +28,10 @@
     return { server, address: `127.0.0.1:${port}`, connections: () => counts.connections };
 };
 
-const call = async (agent: EndpointAgent, address: string, headMs = 2_000, keptIdleMs = 10_000): Promise<string> => {
+const call = async (agent: EndpointAgent, address: string, headMs = 2_000, maxIdleMs = 10_000): Promise<string> => {
     const opened = await openCall(
         agent,
-        { address, method: "GET", target: "/", headers: ["Host", "x"], body: Buffer.alloc(0), keptIdleMs, headMs },
+        { address, method: "GET", target: "/", headers: ["Host", "x"], body: Buffer.alloc(0), maxIdleMs, headMs },
         new AbortController().signal,
     );
     if (opened.kind !== "head") {
--- a/packages/router/src/__tests__/unit/engineOrders.test.ts
+++ b/packages/router/src/__tests__/unit/engineOrders.test.ts
@@ -7,12 +7,12 @@
 import type { EngineOrder } from "../../fleet/EngineOrder.js";
 import { followOrder } from "../../fleet/followOrder.js";
 import type { EndpointWire } from "../../ports/EndpointWire.js";
-import { bookOf } from "../support/bookOf.js";
+import { endpointTableOf } from "../support/endpointTableOf.js";
 
 // A beacon or a report about an older order ends a newer one, and an engine loads the same weights twice.
 
-const own = (givenAt: number): EngineOrder => ({ version: 2, givenAt, seenAt: givenAt, isOwn: true });
-const received = (givenAt: number, seenAt: number): EngineOrder => ({ version: 1, givenAt, seenAt, isOwn: false });
+const own = (issuedAt: number): EngineOrder => ({ version: 2, issuedAt, seenAt: issuedAt, isOwn: true });
+const received = (issuedAt: number, seenAt: number): EngineOrder => ({ version: 1, issuedAt, seenAt, isOwn: false });
 
 type Case = {
     readonly name: string;
@@ -46,22 +46,22 @@
 
 cases.forEach(({ name, orders, at, current }) => {
     test(`engine orders: ${name}`, t => {
-        const { book, time, model, engine } = bookOf();
+        const { endpointTable, time, model, engine } = endpointTableOf();
         orders.forEach(order => {
             time.now = order.seenAt;
-            book.ordered(engine, order);
+            endpointTable.recordOrder(engine, order);
         });
         time.now = at;
-        t.is(book.engines(model)[0]?.order?.givenAt, current);
+        t.is(endpointTable.engines(model)[0]?.order?.issuedAt, current);
     });
 });
 
 test("engine orders: only orders that have not ended are sent to the other VMs", t => {
-    const { book, time, engine } = bookOf();
-    book.ordered(engine, own(time.now));
-    t.is(book.ownOrders().length, 1);
-    book.sawWeights(engine, 2);
-    t.is(book.ownOrders().length, 0);
+    const { endpointTable, time, engine } = endpointTableOf();
+    endpointTable.recordOrder(engine, own(time.now));
+    t.is(endpointTable.ownOrders().length, 1);
+    endpointTable.observeWeights(engine, 2);
+    t.is(endpointTable.ownOrders().length, 0);
 });
 
 /** Effects of a report with more accepted orders than the followed one expected, and none in progress. */
@@ -74,26 +74,28 @@
     test(`engine orders: ${name}`, async t => {
         const server = createServer((_req, res) => res.end());
         await new Promise<void>(resolve => server.listen(0, "127.0.0.1", resolve));
-        const { book, time, model, engine } = bookOf(`127.0.0.1:${(server.address() as AddressInfo).port}`);
+        const { endpointTable, time, model, engine } = endpointTableOf(
+            `127.0.0.1:${(server.address() as AddressInfo).port}`,
+        );
         const agent = new EndpointAgent(() => time.now);
         const wire = {
             reportCall: { method: "GET", target: "/", headers: ["Host", "engine"], body: Buffer.alloc(0) },
             decodeReport: () => ({ versions: new Map([[model, 1]]), isBusy: false, ordersTaken: 3 }),
         } as unknown as EndpointWire;
-        book.ordered(engine, own(1_000));
-        const followed = { endpoint: engine, model, version: 2, givenAt: 1_000, ordersBefore: 0 };
+        endpointTable.recordOrder(engine, own(1_000));
+        const followed = { endpoint: engine, model, version: 2, issuedAt: 1_000, ordersBefore: 0 };
         const ended = new Promise<void>(resolve => {
             void followOrder(
-                { clock: { now: () => time.now, epoch: () => 0 }, book, agent, wire },
+                { clock: { now: () => time.now, epoch: () => 0 }, endpointTable, agent, wire },
                 followed,
                 () => resolve(),
             );
         });
         if (newerAt !== undefined) {
-            book.ordered(engine, own(newerAt));
+            endpointTable.recordOrder(engine, own(newerAt));
         }
         await ended;
-        t.is(book.engines(model)[0]?.order === undefined, isOver);
+        t.is(endpointTable.engines(model)[0]?.order === undefined, isOver);
         agent.destroy();
         server.close();
     });
--- a/packages/router/src/__tests__/unit/knowledge.test.ts
+++ b/packages/router/src/__tests__/unit/knowledge.test.ts
@@ -1,11 +1,11 @@
 import type { ModelName } from "@azureshunt/core";
 import test from "ava";
 
-import { createPauseWatch } from "../../knowledge/createPauseWatch.js";
+import { createSuspensionWatch } from "../../knowledge/createSuspensionWatch.js";
 import type { DeclarationEvent } from "../../knowledge/DeclarationEvent.js";
-import { noKnowledge } from "../../knowledge/noKnowledge.js";
+import { initialDeclaredState } from "../../knowledge/initialDeclaredState.js";
 import { outdatedSince } from "../../knowledge/outdatedSince.js";
-import { stepKnowledge } from "../../knowledge/stepKnowledge.js";
+import { stepDeclaredState } from "../../knowledge/stepDeclaredState.js";
 import { routingOf } from "../support/routingOf.js";
 
 const MODEL = "m" as ModelName;
@@ -93,9 +93,9 @@
 
 cases.forEach(({ name, events, revision, newestRevision, confirmedAt }) => {
     test(`declared state: ${name}`, t => {
-        const known = events.reduce((state, event) => stepKnowledge(state, event, 1_000), noKnowledge);
+        const known = events.reduce((state, event) => stepDeclaredState(state, event, 1_000), initialDeclaredState);
         t.is(known.configuration?.revision, revision);
-        t.is(known.heardRevision, newestRevision);
+        t.is(known.newestRevision, newestRevision);
         t.is(known.confirmedAt, confirmedAt);
     });
 });
@@ -103,8 +103,8 @@
 test("declared state: weights are outdated since the next version after them was set, not since the newest one", t => {
     const targets = [[2, 100], [3, 500], [4, 900]] as const;
     const known = targets.reduce(
-        (state, [version, at]) => stepKnowledge(state, { kind: "weights", model: MODEL, version }, at),
-        noKnowledge,
+        (state, [version, at]) => stepDeclaredState(state, { kind: "weights", model: MODEL, version }, at),
+        initialDeclaredState,
     );
     t.is(outdatedSince(known, MODEL, 1), 100);
     t.is(outdatedSince(known, MODEL, 2), 500);
@@ -123,7 +123,7 @@
     test(`suspension watch: ${name}`, t => {
         const time = { now: 0, epoch: 1_000_000 };
         const seen = { suspensions: 0 };
-        const watch = createPauseWatch({ now: () => time.now, epoch: () => time.epoch }, () => {
+        const watch = createSuspensionWatch({ now: () => time.now, epoch: () => time.epoch }, () => {
             seen.suspensions += 1;
         });
         time.now += nowMs;
--- a/packages/router/src/__tests__/unit/orderLease.test.ts
+++ b/packages/router/src/__tests__/unit/orderLease.test.ts
@@ -92,7 +92,7 @@
                 return;
             }
             if (tick > 0 && isSuspended(i, tick - 1)) {
-                apply(i, { kind: "paused" });
+                apply(i, { kind: "suspended" });
             }
             answers.filter(({ vm }) => vm === i).forEach(each => {
                 answers.splice(answers.indexOf(each), 1);
@@ -101,7 +101,7 @@
             vms.forEach(({ lease: { tail } }, j) => {
                 if (j !== i && !isSuspended(j, tick) && tail !== undefined && tick % BEACON_TICKS === 0) {
                     const ageMs = clock(j) - tail.knownSince;
-                    apply(i, { kind: "vouched", offset: tail.offset, holder: tail.holder, ageMs });
+                    apply(i, { kind: "peer-record", offset: tail.offset, holder: tail.holder, ageMs });
                 }
             });
             apply(i, { kind: "tick", isWanted: true, rank: i });
@@ -145,7 +145,7 @@
 // No VM acquires the lease, as all claim behind a record that is not the last one.
 test("order lease: after a failed claim behind a record that is not the last one, a VM reads the stream", t => {
     const expired = leaseTiming.holdMs + LEASE_MS + leaseTiming.marginMs + leaseTiming.staggerMs;
-    const peerRecord: OrderLeaseEvent = { kind: "vouched", offset: 16, holder: VMS[0] as VmId, ageMs: expired };
+    const peerRecord: OrderLeaseEvent = { kind: "peer-record", offset: 16, holder: VMS[0] as VmId, ageMs: expired };
     const tick: OrderLeaseEvent = { kind: "tick", isWanted: true, rank: 1 };
     const failed = [peerRecord, tick, { kind: "call-failed" } as const, peerRecord]
         .reduce((state, event) => stepOrderLease(state, event, LEASE_MS, 10_000).state, newOrderLease(VMS[1] as VmId));
--- a/packages/router/src/__tests__/unit/overload.test.ts
+++ b/packages/router/src/__tests__/unit/overload.test.ts
@@ -2,7 +2,7 @@
 
 import type { Candidate } from "../../placement/Candidate.js";
 import { estimateStart } from "../../placement/estimateStart.js";
-import { overloadWait } from "../../placement/overloadWait.js";
+import { overloadDelayMs } from "../../placement/overloadDelayMs.js";
 import { candidateOf } from "../support/candidateOf.js";
 
 const OBJECTIVE_MS = 500;
@@ -26,7 +26,7 @@
     Array.from({ length: 2_000 }, (_, i) => i * gapMs).forEach(now => {
         const waitingTokens = Math.max(0, state.freeAt - now) * PREFILL_PER_MS;
         const estimate = estimateStart(engine(waitingTokens, 0));
-        if (mayRefuse && overloadWait({ ...estimate, objectiveMs: OBJECTIVE_MS, isUrgent: true }) !== undefined) {
+        if (mayRefuse && overloadDelayMs({ ...estimate, objectiveMs: OBJECTIVE_MS, isUrgent: true }) !== undefined) {
             state.refused += 1;
             return;
         }
@@ -55,7 +55,7 @@
 test("overload: a large prompt is not refused by an idle engine", t => {
     const estimate = estimateStart({ ...engine(0, 0), missingTokens: 54_000 });
     t.true(estimate.startMs > OBJECTIVE_MS);
-    t.is(overloadWait({ ...estimate, objectiveMs: OBJECTIVE_MS, isUrgent: false }), undefined);
+    t.is(overloadDelayMs({ ...estimate, objectiveMs: OBJECTIVE_MS, isUrgent: false }), undefined);
 });
 
 const cases = [
@@ -87,6 +87,6 @@
 
 cases.forEach(({ name, queueMs, startMs, isUrgent, delayMs }) => {
     test(`overloadDelayMs: ${name}`, t => {
-        t.is(overloadWait({ queueMs, startMs, objectiveMs: OBJECTIVE_MS, isUrgent }), delayMs);
+        t.is(overloadDelayMs({ queueMs, startMs, objectiveMs: OBJECTIVE_MS, isUrgent }), delayMs);
     });
 });
--- a/packages/router/src/__tests__/unit/peerLoad.test.ts
+++ b/packages/router/src/__tests__/unit/peerLoad.test.ts
@@ -1,7 +1,7 @@
 import type { Clock, EndpointName, FailureDomain, VmId } from "@azureshunt/core";
 import test from "ava";
 
-import { createOthersLoad } from "../../peers/createOthersLoad.js";
+import { createPeerLoad } from "../../peers/createPeerLoad.js";
 import type { VmRole } from "../../peers/VmRole.js";
 
 const failureDomain = "fd" as FailureDomain;
@@ -47,7 +47,7 @@
     test(`peer load: ${name}`, t => {
         const time = { now: 0 };
         const clock: Clock = { now: () => time.now, epoch: () => time.now };
-        const load = createOthersLoad({ clock, failureDomain, isRelay: () => true, roleOf: () => "relay" });
+        const load = createPeerLoad({ clock, failureDomain, isRelay: () => true, roleOf: () => "relay" });
         received.forEach(([at, vm, shares]) => {
             time.now = at;
             load.applyBeacon({
@@ -88,7 +88,12 @@
 };
 
 const E = "e" as EndpointName;
-const roles: Readonly<Record<string, VmRole>> = { leaf: "leaf", leaf2: "leaf", peerRelay: "relay", remote: "foreign" };
+const roles: Readonly<Record<string, VmRole>> = {
+    leaf: "leaf",
+    leaf2: "leaf",
+    peerRelay: "relay",
+    remote: "remote-relay",
+};
 const shareOf = (running: number) => ({ running, waitingTokens: 0, memoryTokens: 0 });
 const rowsOf = (running: number | undefined) => running === undefined ? [] : [[E, shareOf(running)] as const];
 
@@ -154,11 +159,11 @@
 ];
 relayCases.forEach(({ name, isRelay, updates, at, toDomain, toLeaf }) => {
     test(`peer load: ${name}`, t => {
-        const load = createOthersLoad({
+        const load = createPeerLoad({
             clock: { now: () => 0, epoch: () => 0 },
             failureDomain,
             isRelay: () => isRelay,
-            roleOf: vm => roles[vm] ?? "stranger",
+            roleOf: vm => roles[vm] ?? "indirect",
         });
         updates.forEach(({ vm, domain, scope, own, relayed }) =>
             load.applyBeacon({
@@ -177,7 +182,7 @@
 
 test("peer load: a change is sent once, also that nothing runs any more", t => {
     const clock: Clock = { now: () => 0, epoch: () => 0 };
-    const load = createOthersLoad({ clock, failureDomain, isRelay: () => true, roleOf: () => "leaf" });
+    const load = createPeerLoad({ clock, failureDomain, isRelay: () => true, roleOf: () => "leaf" });
     const receive = (running: number | undefined): void =>
         load.applyBeacon({ vm: "leaf" as VmId, failureDomain, scope: "vm", load: rowsOf(running), relayedLoad: [] });
     const changes = (): readonly number[] =>
--- a/packages/router/src/__tests__/unit/placement.test.ts
+++ b/packages/router/src/__tests__/unit/placement.test.ts
@@ -4,7 +4,7 @@
 import type { Candidate } from "../../placement/Candidate.js";
 import { chainOf } from "../../placement/chainOf.js";
 import { choosePlace } from "../../placement/choosePlace.js";
-import { createChainMemory } from "../../placement/createChainMemory.js";
+import { createPrefixIndex } from "../../placement/createPrefixIndex.js";
 import { healthAfterTry } from "../../placement/healthAfterTry.js";
 import type { InFlight } from "../../placement/InFlight.js";
 import { initialHealth } from "../../placement/initialHealth.js";
@@ -145,10 +145,10 @@
 
 test("prefix index: a part counts only if all parts before it are cached, under the same salt, until it expires", t => {
     const parts = [{ id: "a", tokens: 10 }, { id: "b", tokens: 20 }, { id: "c", tokens: 30 }];
-    const index = createChainMemory(() => ({ keptMs: 1_000, size: 1_000 }));
+    const index = createPrefixIndex(() => ({ expiryMs: 1_000, size: 1_000 }));
     const chain = chainOf("w1", parts);
-    index.note("e1", chain.slice(0, 2), 0);
-    index.note("e2", chain.slice(1), 0);
+    index.record("e1", chain.slice(0, 2), 0);
+    index.record("e2", chain.slice(1), 0);
     t.deepEqual(index.holders(chain, 500), [{ holder: "e1", tokens: 30 }]);
     t.deepEqual(index.holders(chainOf("w2", parts), 500), []);
     t.deepEqual(index.holders(chain, 1_500), []);
@@ -158,13 +158,13 @@
 
 test("prefix index: an update to the peers lists each part once, all parts included as all take up room", t => {
     const chain = chainOf("w1", [{ id: "a", tokens: 10 }, { id: "b", tokens: 20 }]);
-    const index = createChainMemory(() => ({ keptMs: 1_000, size: 1_000 }));
-    index.note("e1", chain, 0);
-    index.note("e1", chain, 0);
-    t.deepEqual(index.takeNews(), [["e1", chain]]);
-    t.deepEqual(index.takeNews(), []);
-    const other = createChainMemory(() => ({ keptMs: 1_000, size: 1_000 }));
-    other.hear("e1", chain, 0);
+    const index = createPrefixIndex(() => ({ expiryMs: 1_000, size: 1_000 }));
+    index.record("e1", chain, 0);
+    index.record("e1", chain, 0);
+    t.deepEqual(index.drainUpdates(), [["e1", chain]]);
+    t.deepEqual(index.drainUpdates(), []);
+    const other = createPrefixIndex(() => ({ expiryMs: 1_000, size: 1_000 }));
+    other.receiveParts("e1", chain, 0);
     t.deepEqual(other.holders(chain, 500), [{ holder: "e1", tokens: 30 }]);
 });
 
@@ -176,21 +176,21 @@
 ];
 fillings.forEach(({ name, others, isHeld }) => {
     test(`prefix index of a full engine: ${name}`, t => {
-        const index = createChainMemory(() => ({ keptMs: 8_000, size: 100_000 }));
+        const index = createPrefixIndex(() => ({ expiryMs: 8_000, size: 100_000 }));
         const manual = chainOf("w1", [{ id: "manual", tokens: 10_000 }]);
-        index.note("e1", manual, 0);
+        index.record("e1", manual, 0);
         Array.from({ length: others }, (_, i) => chainOf("w1", [{ id: `own${i}`, tokens: 10_000 }]))
-            .forEach((own, i) => index.note("e1", own, 10 * i));
+            .forEach((own, i) => index.record("e1", own, 10 * i));
         t.is(index.holders(manual, 2_000).length === 1, isHeld);
     });
 });
 
 test("prefix index of a full engine: reused parts stay, and the end of a prompt is evicted before its beginning", t => {
-    const index = createChainMemory(() => ({ keptMs: 8_000, size: 30 }));
+    const index = createPrefixIndex(() => ({ expiryMs: 8_000, size: 30 }));
     const first = chainOf("w1", [{ id: "a", tokens: 10 }, { id: "b", tokens: 10 }]);
-    index.note("e1", first, 0);
-    index.note("e1", chainOf("w1", [{ id: "c", tokens: 10 }]), 1);
-    index.note("e1", first, 2);
-    index.note("e1", chainOf("w1", [{ id: "d", tokens: 20 }]), 3);
+    index.record("e1", first, 0);
+    index.record("e1", chainOf("w1", [{ id: "c", tokens: 10 }]), 1);
+    index.record("e1", first, 2);
+    index.record("e1", chainOf("w1", [{ id: "d", tokens: 20 }]), 3);
     t.deepEqual(index.holders(first, 4), [{ holder: "e1", tokens: 10 }]);
 });
--- a/packages/router/src/__tests__/unit/planWave.test.ts
+++ b/packages/router/src/__tests__/unit/planWave.test.ts
@@ -6,7 +6,7 @@
 
 const enginesOf = (count: number, more: Partial<EngineWeights> = {}): readonly EngineWeights[] =>
     Array.from({ length: count }, (_, i) => engineOf(`e${i}`, more));
-const order = { version: 2, givenAt: 0, seenAt: 0, isOwn: true };
+const order = { version: 2, issuedAt: 0, seenAt: 0, isOwn: true };
 
 type Case = {
     readonly name: string;
--- a/packages/router/src/__tests__/unit/promptShares.test.ts
+++ b/packages/router/src/__tests__/unit/promptShares.test.ts
@@ -1,8 +1,8 @@
 import type { EndpointName, FailureDomain, ServiceName } from "@azureshunt/core";
 import test from "ava";
 
-import { noKnowledge } from "../../knowledge/noKnowledge.js";
-import { createChainMemory } from "../../placement/createChainMemory.js";
+import { initialDeclaredState } from "../../knowledge/initialDeclaredState.js";
+import { createPrefixIndex } from "../../placement/createPrefixIndex.js";
 import { createPromptShares } from "../../serve/createPromptShares.js";
 import type { ServeParts } from "../../serve/ServeParts.js";
 import { routingOf } from "../support/routingOf.js";
@@ -16,8 +16,8 @@
 type Held = Readonly<Record<string, number>>;
 
 const shareAt = (endpoint: string, held: Held, isSilent: boolean) => {
-    const chains = createChainMemory(() => ({ keptMs: 10_000, size: 100_000 }));
-    Object.entries(held).forEach(([holder, count]) => chains.note(holder, chain.slice(0, count), 0));
+    const prefixIndex = createPrefixIndex(() => ({ expiryMs: 10_000, size: 100_000 }));
+    Object.entries(held).forEach(([holder, count]) => prefixIndex.record(holder, chain.slice(0, count), 0));
     const routing = routingOf(1, []);
     const store = { name: "keep" as ServiceName, maxConnections: 9, engine: undefined };
     const services = new Map([[store.name, {
@@ -25,11 +25,11 @@
         cacheStore: { address: STORE, failureDomain: DOMAIN, cacheTokens: 2_000_000 },
     }]]);
     const parts = {
-        chains,
+        prefixIndex,
         clock: { now: () => 0, epoch: () => 0 },
-        isQuiet: () => isSilent,
-        knowledge: () => ({ ...noKnowledge, configuration: { ...routing, services } }),
-        book: {
+        isDomainSilent: () => isSilent,
+        declaredState: () => ({ ...initialDeclaredState, configuration: { ...routing, services } }),
+        endpointTable: {
             entryOf: (name: EndpointName) =>
                 name.startsWith("e") ? { name, address: addressOf(name), failureDomain: DOMAIN } : undefined,
         },
--- a/packages/router/src/__tests__/unit/quarantinePort.test.ts
+++ b/packages/router/src/__tests__/unit/quarantinePort.test.ts
@@ -20,15 +20,15 @@
 // A first death that is checked slowly counts as none, and the request is run by one more engine.
 test("quarantine: a request whose second try broke off waits for the result of the first one too", async t => {
     const first: { settleCheck?: (died: boolean) => void; } = {};
-    const { broke } = createQuarantine({
+    const { reportBrokenTry } = createQuarantine({
         clock: createClock(),
         hasDied: address =>
             address === "engine-1" ? new Promise(resolve => (first.settleCheck = resolve)) : Promise.resolve(true),
         logger: pino({ level: "silent" }),
         metrics: createMetrics(),
     });
-    await broke(served, endpoint("engine-1"));
-    const second = broke(served, endpoint("engine-2"));
+    await reportBrokenTry(served, endpoint("engine-1"));
+    const second = reportBrokenTry(served, endpoint("engine-2"));
     const timeout = new Promise<void>(resolve => setTimeout(resolve, 50));
     t.is(await settlesFirst(second, timeout), "second", "it waits");
     first.settleCheck?.(true);
@@ -39,18 +39,18 @@
 // domain.
 test("quarantine: a received death is sent on once", t => {
     const time = { now: 0 };
-    const { hear, news } = createQuarantine({
+    const { applyBeacon, beaconFields } = createQuarantine({
         clock: { now: () => time.now, epoch: () => time.now },
         hasDied: () => Promise.resolve(false),
         logger: pino({ level: "silent" }),
         metrics: createMetrics(),
     });
-    const beacon = { deaths: [["request", "engine-1/1"]], stopped: [] } as unknown as Beacon;
-    hear(beacon);
-    t.deepEqual(news().deaths as unknown, [["request", "engine-1/1"]]);
+    const beacon = { deaths: [["request", "engine-1/1"]], quarantined: [] } as unknown as Beacon;
+    applyBeacon(beacon);
+    t.deepEqual(beaconFields().deaths as unknown, [["request", "engine-1/1"]]);
     time.now = 2_000;
-    hear(beacon);
-    t.is(news().deaths.length, 1);
+    applyBeacon(beacon);
+    t.is(beaconFields().deaths.length, 1);
     time.now = 3_500;
-    t.is(news().deaths.length, 0);
+    t.is(beaconFields().deaths.length, 0);
 });
--- a/packages/router/src/__tests__/unit/registryFreshness.test.ts
+++ b/packages/router/src/__tests__/unit/registryFreshness.test.ts
@@ -119,18 +119,18 @@
 });
 
 const membersOf = (
-    others: readonly { readonly vm: string; readonly receivedAt: number; readonly hasStore: boolean; }[],
+    others: readonly { readonly vm: string; readonly beaconAt: number; readonly hasStore: boolean; }[],
 ): Members => ({
     vm: "vm-2" as VmId,
     incarnation: "run" as Incarnation,
     failureDomain: "fd" as FailureDomain,
     capacity: 1,
-    behind: new Map(),
-    fleet: undefined,
+    domainSummaries: new Map(),
+    fleetSummary: undefined,
     startedAt: 0,
     isListed: true,
     seeds: [],
-    known: new Map(others.map(({ vm, receivedAt, hasStore }) => [
+    known: new Map(others.map(({ vm, beaconAt, hasStore }) => [
         vm as VmId,
         {
             vm: vm as VmId,
@@ -138,14 +138,14 @@
             failureDomain: "fd" as FailureDomain,
             capacity: 1,
             hasStore,
-            seenAt: receivedAt,
-            heard: {
+            lastSeenAt: beaconAt,
+            lastReceived: {
                 incarnation: "run" as Incarnation,
                 failureDomain: "fd" as FailureDomain,
-                at: receivedAt,
+                receivedAt: beaconAt,
                 beacon: { hasStore } as Beacon,
-                sentAfter: receivedAt,
-                stampedAt: receivedAt,
+                sentAfter: beaconAt,
+                stampedAt: beaconAt,
             },
         },
     ])),
@@ -155,22 +155,22 @@
     { name: "this VM reads if it is alone", others: [], reads: true },
     {
         name: "this VM does not read if it receives beacons of an earlier VM",
-        others: [{ vm: "vm-1", receivedAt: 9_000, hasStore: true }],
+        others: [{ vm: "vm-1", beaconAt: 9_000, hasStore: true }],
         reads: false,
     },
     {
         name: "this VM reads if it receives beacons of later VMs only",
-        others: [{ vm: "vm-3", receivedAt: 9_000, hasStore: true }],
+        others: [{ vm: "vm-3", beaconAt: 9_000, hasStore: true }],
         reads: true,
     },
     {
         name: "this VM reads if the earlier VM has become silent",
-        others: [{ vm: "vm-1", receivedAt: 7_000, hasStore: true }],
+        others: [{ vm: "vm-1", beaconAt: 7_000, hasStore: true }],
         reads: true,
     },
     {
         name: "this VM reads if the earlier VM is cut off from the store",
-        others: [{ vm: "vm-1", receivedAt: 9_000, hasStore: false }],
+        others: [{ vm: "vm-1", beaconAt: 9_000, hasStore: false }],
         reads: true,
     },
 ] as const;
--- a/packages/router/src/__tests__/unit/relayAnswers.test.ts
+++ b/packages/router/src/__tests__/unit/relayAnswers.test.ts
@@ -7,8 +7,8 @@
 import { Left, Right } from "purify-ts";
 
 import { EndpointAgent } from "../../dispatch/EndpointAgent.js";
-import { startKnowledge } from "../../knowledge/startKnowledge.js";
-import type { Heard } from "../../peers/Heard.js";
+import { startDeclarations } from "../../knowledge/startDeclarations.js";
+import type { ReceivedBeacon } from "../../peers/ReceivedBeacon.js";
 import type { DirectoryWire } from "../../ports/DirectoryWire.js";
 import type { StorePort } from "../../ports/StorePort.js";
 import { routingOf } from "../support/routingOf.js";
@@ -23,7 +23,7 @@
  * Starts the declarations of a VM whose store has one revision and refuses reads after `loseStore`. A peer serves
  * `peerRevision`.
  */
-const startDeclarations = async (revision: number, peerRevision: number) => {
+const startVmDeclarations = async (revision: number, peerRevision: number) => {
     const peer = createServer((_, res) => res.end(String(peerRevision)));
     await new Promise<void>(resolve => peer.listen(0, "127.0.0.1", resolve));
     const clock = createClock();
@@ -40,53 +40,53 @@
             Right({ kind: "configuration", configuration: routingOf(Number(value.toString()), []) }),
     } as unknown as DirectoryWire;
     const agent = new EndpointAgent(clock.now);
-    const knowledge = startKnowledge({
+    const declarations = startDeclarations({
         clock,
         store,
         wire,
         agent,
         logger: createLoggers("silent", { vm: "vm", failureDomain: "fd", incarnation: "run" })("knowledge"),
         metrics: createMetrics(),
-        onNews: () => undefined,
+        onChange: () => undefined,
         isReader: () => true,
-        newsEveryMs: () => 200,
-        askRelay: () => Promise.resolve(undefined),
-        isHeld: () => false,
-        checkPause: () => undefined,
+        beaconIntervalMs: () => 200,
+        queryRelay: () => Promise.resolve(undefined),
+        mustWaitForRelay: () => false,
+        checkSuspension: () => undefined,
     });
-    await waitUntil(() => knowledge.current().configuration !== undefined);
+    await waitUntil(() => declarations.current().configuration !== undefined);
     const confirm = (): void => {
         const now = clock.now();
         const beacon = { weights: [], revision: peerRevision, confirmedMs: 0 };
-        const received = { beacon, sentAfter: now, stampedAt: now } as unknown as Heard;
-        knowledge.hear(received, `127.0.0.1:${(peer.address() as AddressInfo).port}`);
+        const received = { beacon, sentAfter: now, stampedAt: now } as unknown as ReceivedBeacon;
+        declarations.applyBeacon(received, `127.0.0.1:${(peer.address() as AddressInfo).port}`);
     };
     const stop = (): void => {
-        knowledge.stop();
+        declarations.stop();
         agent.destroy();
         peer.close();
     };
-    return { knowledge, confirm, stop, loseStore: () => void (state.isDown = true) };
+    return { declarations, confirm, stop, loseStore: () => void (state.isDown = true) };
 };
 
 test("relay answers: returns the records that the relay has read, from an offset on", async t => {
-    const { knowledge, stop } = await startDeclarations(1, 1);
+    const { declarations, stop } = await startVmDeclarations(1, 1);
     t.teardown(stop);
-    t.deepEqual(knowledge.answer(undefined)?.records.map(({ offset }) => offset), [0]);
-    t.deepEqual(knowledge.answer(1)?.records, []);
-    t.is(knowledge.answer(1)?.end, 1);
+    t.deepEqual(declarations.answer(undefined)?.records.map(({ offset }) => offset), [0]);
+    t.deepEqual(declarations.answer(1)?.records, []);
+    t.is(declarations.answer(1)?.end, 1);
 });
 
 // A relay that cannot reach the store confirms a configuration that it got from a peer, but has no record of it to
 // return. If it answered, a VM that queries it would take its own older record for the newest.
 test("relay answers: no answer from a relay that got the newest configuration from a peer", async t => {
-    const { knowledge, confirm, stop, loseStore } = await startDeclarations(1, 2);
+    const { declarations, confirm, stop, loseStore } = await startVmDeclarations(1, 2);
     t.teardown(stop);
     loseStore();
     await waitUntil(() => {
         confirm();
-        return knowledge.current().configuration?.revision === 2;
+        return declarations.current().configuration?.revision === 2;
     });
     confirm();
-    t.is(knowledge.answer(1), undefined);
+    t.is(declarations.answer(1), undefined);
 });
--- a/packages/router/src/__tests__/unit/relayBuffer.test.ts
+++ b/packages/router/src/__tests__/unit/relayBuffer.test.ts
@@ -1,17 +1,17 @@
 import type { EndpointName, VmId } from "@azureshunt/core";
 import test from "ava";
 
-import { createPassing } from "../../peers/createPassing.js";
+import { createRelayBuffer } from "../../peers/createRelayBuffer.js";
 import type { VmRole } from "../../peers/VmRole.js";
 
 const ROUND_MS = 500;
 
 const relayBufferOf = (vm: string, relays: readonly string[], now: () => number) =>
-    createPassing({
+    createRelayBuffer({
         clock: { now, epoch: now },
         vm: vm as VmId,
         relays: () => relays as readonly VmId[],
-        newsEveryMs: () => ROUND_MS,
+        beaconIntervalMs: () => ROUND_MS,
     });
 const update = (holder: string) => ({
     cached: [[holder, [{ key: "manual", tokens: 40 }]]] as const,
@@ -22,9 +22,9 @@
 // prefill, or requests to an engine that refuses them.
 const cases: readonly { readonly role: VmRole; readonly domain: number; readonly fleet: number; }[] = [
     { role: "leaf", domain: 1, fleet: 1 },
-    { role: "foreign", domain: 0, fleet: 1 },
+    { role: "remote-relay", domain: 0, fleet: 1 },
     { role: "relay", domain: 0, fleet: 0 },
-    { role: "stranger", domain: 0, fleet: 0 },
+    { role: "indirect", domain: 0, fleet: 0 },
 ];
 cases.forEach(({ role, domain, fleet }) => {
     test(`relay buffer: rows of a VM with the role ${role}: ${domain} to other domains, ${fleet} to this one`, t => {
--- a/packages/router/src/__tests__/unit/relays.test.ts
+++ b/packages/router/src/__tests__/unit/relays.test.ts
@@ -17,10 +17,10 @@
 const miscountingVms = (fleet: Fleet): readonly string[] =>
     fleet.vms()
         .filter(({ membership }) => {
-            const { peers, unheard } = membership.hearing();
-            return peers !== fleet.vms().length - 1 || unheard.length > 0;
+            const { peers, silent } = membership.liveness();
+            return peers !== fleet.vms().length - 1 || silent.length > 0;
         })
-        .map(({ listed, membership }) => `${listed.vm} ${JSON.stringify(membership.hearing())}`);
+        .map(({ listed, membership }) => `${listed.vm} ${JSON.stringify(membership.liveness())}`);
 
 // Without relays, the number of datagrams would grow with the square of the number of VMs.
 [
@@ -46,7 +46,7 @@
     fleet.runUntil(SETTLED_MS);
     fleet.vms().forEach(({ membership }) => {
         t.is(membership.targets(1).length, 5);
-        t.is(membership.hearing().newsMs, membership.newsEveryMs());
+        t.is(membership.liveness().propagationMs, membership.beaconIntervalMs());
     });
     t.deepEqual(miscountingVms(fleet), []);
 });
@@ -84,7 +84,7 @@
         inject: fleet => {
             const all = fleet.vms().map(({ listed }) => listed);
             all.forEach(({ vm }) => fleet.kill(vm));
-            all.forEach((listed, i) => fleet.later(500 + i, () => fleet.start(listed)));
+            all.forEach((listed, i) => fleet.schedule(500 + i, () => fleet.start(listed)));
         },
         healedAfterMs: 10_000,
     },
@@ -92,7 +92,7 @@
         name: "a new VM takes a dead one's name at another address",
         inject: fleet => {
             fleet.kill("vm-0-003" as VmId);
-            fleet.later(500, () => fleet.start({ ...listedVm(0, 3), address: "10.9.9.9:1" }));
+            fleet.schedule(500, () => fleet.start({ ...listedVm(0, 3), address: "10.9.9.9:1" }));
         },
         healedAfterMs: 4_000,
     },
@@ -149,9 +149,9 @@
     });
     fleet.runUntil(SETTLED_MS + 4_000);
     fleet.vms().forEach(({ listed, membership }) => {
-        const { peers, unheard } = membership.hearing();
+        const { peers, silent } = membership.liveness();
         t.is(peers, 59, listed.vm);
-        t.is(unheard.length, inDomain(0)(listed) ? 40 : 20, listed.vm);
+        t.is(silent.length, inDomain(0)(listed) ? 40 : 20, listed.vm);
     });
 });
 
@@ -165,7 +165,7 @@
 const countedSpending = (fleet: Fleet): readonly number[] =>
     fleet.vms().map(({ allowances }) => {
         allowances.spend(ORGANISATION, 0);
-        return Math.round(BURST - allowances.least());
+        return Math.round(BURST - allowances.minLevel());
     });
 
 // If two relays relay the same VMs' spending, or the relay changes, spending could count twice or not at all.
@@ -193,7 +193,7 @@
                     spent.tokens += 10;
                 }
                 const next = fleet.clock.now() + 20;
-                fleet.later(20, () => undefined);
+                fleet.schedule(20, () => undefined);
                 fleet.runUntil(next);
             }
         };
--- a/packages/router/src/__tests__/unit/ringOrder.test.ts
+++ b/packages/router/src/__tests__/unit/ringOrder.test.ts
@@ -12,7 +12,7 @@
 
 /** Returns when one VM receives beacons of the others, which all start at different times. */
 const receivedBy = (vms: readonly VmId[], receiver: VmId, forMs: number): readonly number[] => {
-    const { clock, later: schedule, runUntil } = createVirtualTime();
+    const { clock, schedule, runUntil } = createVirtualTime();
     const received: number[] = [];
     const targetsOf = (self: VmId): readonly BeaconTarget[] =>
         vms.filter(vm => vm !== self).map(vm => ({ vm, address: `${vm}:1`, scope: "vm" }));
--- a/packages/router/src/__tests__/unit/rolloutAndStreamPace.test.ts
+++ b/packages/router/src/__tests__/unit/rolloutAndStreamPace.test.ts
@@ -4,7 +4,7 @@
 import { createStreamPace } from "../../serve/createStreamPace.js";
 import { engineOf } from "../support/engineOf.js";
 
-const order = { version: 2, givenAt: 0, seenAt: 0, isOwn: true };
+const order = { version: 2, issuedAt: 0, seenAt: 0, isOwn: true };
 
 const rollouts = [
     {
--- a/packages/router/src/__tests__/unit/topicMirror.test.ts
+++ b/packages/router/src/__tests__/unit/topicMirror.test.ts
@@ -5,7 +5,7 @@
 import { encodeTopicAnswer } from "../../store/encodeTopicAnswer.js";
 
 type Mirror = ReturnType<typeof createTopicMirror>;
-type TopicRecord = Parameters<Mirror["note"]>[0]["records"][number];
+type TopicRecord = Parameters<Mirror["record"]>[0]["records"][number];
 
 /** Values are equivalent if their first letters are equal. */
 const mirrorOf = (): Mirror => createTopicMirror((before, now) => before[0] === now[0]);
@@ -77,7 +77,7 @@
 cases.forEach(({ name, pages, from, answered: expected }) => {
     test(`topic mirror: returns ${name}`, t => {
         const mirror = mirrorOf();
-        pages.forEach(([isWhole, end, records]) => mirror.note({ isWhole, end, records }));
+        pages.forEach(([isWhole, end, records]) => mirror.record({ isWhole, end, records }));
         t.deepEqual(answered(mirror, from), expected);
         t.is(mirror.answer(from)?.end, Math.max(...pages.map(([, end]) => end)));
     });
--- a/packages/router/src/__tests__/unit/unreachedOrders.test.ts
+++ b/packages/router/src/__tests__/unit/unreachedOrders.test.ts
@@ -2,7 +2,7 @@
 import test from "ava";
 
 import { planWave } from "../../fleet/planWave.js";
-import { bookOf } from "../support/bookOf.js";
+import { endpointTableOf } from "../support/endpointTableOf.js";
 
 // An engine that one order did not reach is never ordered again and keeps replaced weights.
 
@@ -24,14 +24,14 @@
 
 cases.forEach(({ name, unreached, outdatedMs }) => {
     test(`orders: an engine that was not reached ${name} is ordered again after its backoff`, t => {
-        const { book, time, model, engine, servesForMs } = bookOf();
+        const { endpointTable, time, model, engine, servesForMs } = endpointTableOf();
         const planned = (): readonly EndpointName[] =>
-            planWave({ engines: book.engines(model), version: 2, servesForMs, demand: 0 });
+            planWave({ engines: endpointTable.engines(model), version: 2, servesForMs, demand: 0 });
 
         time.now += outdatedMs;
         t.deepEqual(planned(), [engine]);
         Array.from({ length: unreached }).forEach(() => {
-            book.unreached(engine);
+            endpointTable.recordUnreached(engine);
             t.deepEqual(planned(), [], "it is not ordered during its backoff");
             time.now += MAX_BACKOFF_MS;
         });
--- a/packages/router/src/__tests__/unit/versionSelector.test.ts
+++ b/packages/router/src/__tests__/unit/versionSelector.test.ts
@@ -7,27 +7,30 @@
 // change.
 
 const ENGINES = 63;
-const engines = (seenAt: (i: number) => number): readonly {
+const engines = (learnedAt: (i: number) => number): readonly {
     readonly endpoint: EndpointName;
     readonly version: number;
-    readonly seenAt: number;
+    readonly learnedAt: number;
 }[] =>
-    Array.from({ length: ENGINES }, (_, i) => ({ endpoint: `e${i}` as EndpointName, version: 2, seenAt: seenAt(i) }));
+    Array.from(
+        { length: ENGINES },
+        (_, i) => ({ endpoint: `e${i}` as EndpointName, version: 2, learnedAt: learnedAt(i) }),
+    );
 
 const cases = [
-    { name: "nothing changed: a few in rotation", seenAt: () => -Infinity, most: 8, always: [] },
-    { name: "only old changes: a few in rotation", seenAt: () => 1_000, most: 8, always: [] },
+    { name: "nothing changed: a few in rotation", learnedAt: () => -Infinity, most: 8, always: [] },
+    { name: "only old changes: a few in rotation", learnedAt: () => 1_000, most: 8, always: [] },
     {
         name: "a recent change that this VM saw is sent each time",
-        seenAt: (i: number) => i === 40 ? 9_000 : -Infinity,
+        learnedAt: (i: number) => i === 40 ? 9_000 : -Infinity,
         most: 9,
         always: ["e40"],
     },
 ];
 
-cases.forEach(({ name, seenAt, most, always }) => {
+cases.forEach(({ name, learnedAt, most, always }) => {
     test(`engine versions: ${name}`, t => {
-        const select = createVersionSelector(() => engines(seenAt), () => 10_000);
+        const select = createVersionSelector(() => engines(learnedAt), () => 10_000);
         const sent = Array.from({ length: Math.ceil(ENGINES / 8) }, () => select().map(([endpoint]) => `${endpoint}`));
         sent.forEach(names => {
             t.true(names.length <= most);
--- a/packages/router/src/allowance/admittedFraction.ts
+++ b/packages/router/src/allowance/admittedFraction.ts
@@ -25,7 +25,7 @@
  * spending they would admit every request: in total more than rate and burst allow. To prevent this, each VM knows the
  * demand at all VMs and admits the fraction that the rate and the bucket can cover until updates have reached all VMs.
  */
-export function admittedFraction({ level, ratePerSecond, demandPerSecond, propagationMs: newsMs }: DemandView): number {
-    const admissiblePerSecond = PEAK_FACTOR * ratePerSecond + Math.max(0, level) * MS_PER_SECOND / newsMs;
+export function admittedFraction({ level, ratePerSecond, demandPerSecond, propagationMs }: DemandView): number {
+    const admissiblePerSecond = PEAK_FACTOR * ratePerSecond + Math.max(0, level) * MS_PER_SECOND / propagationMs;
     return demandPerSecond <= admissiblePerSecond ? 1 : admissiblePerSecond / demandPerSecond;
 }
--- a/packages/router/src/allowance/advanceShared.ts
+++ b/packages/router/src/allowance/advanceShared.ts
@@ -1,7 +1,7 @@
 import type { Millis } from "@azureshunt/core";
 
-import type { Hearing } from "./Hearing.js";
 import { overdraftOf } from "./overdraftOf.js";
+import type { PeerLiveness } from "./PeerLiveness.js";
 import type { SharedAllowance } from "./SharedAllowance.js";
 
 const MS_PER_SECOND = 1_000;
@@ -16,13 +16,13 @@
  */
 export function advanceShared(
     allowance: SharedAllowance,
-    liveness: Omit<Hearing, "newsMs">,
+    liveness: Omit<PeerLiveness, "propagationMs">,
     now: Millis,
 ): SharedAllowance {
     const seconds = Math.max(0, now - allowance.at) / MS_PER_SECOND;
     const share = allowance.ratePerSecond * seconds / (liveness.peers + 1);
-    const refill = share * (liveness.peers + 1 - liveness.unheard.length);
-    const assumed = liveness.unheard.map(vm => {
+    const refill = share * (liveness.peers + 1 - liveness.silent.length);
+    const assumed = liveness.silent.map(vm => {
         const known = allowance.peers.get(vm) ?? neverReceived;
         return [vm, {
             ...known,
--- a/packages/router/src/allowance/createAllowanceQueue.ts
+++ b/packages/router/src/allowance/createAllowanceQueue.ts
@@ -20,9 +20,9 @@
 
 type QueueParts = {
     readonly clock: Clock;
-    readonly allowances: Pick<ReturnType<typeof createAllowances>, "noteDemand" | "spend" | "refusal">;
+    readonly allowances: Pick<ReturnType<typeof createAllowances>, "recordDemand" | "spend" | "refusal">;
     /** Runs a function after a delay. */
-    readonly later: (delayMs: Millis, run: () => void) => void;
+    readonly schedule: (delayMs: Millis, run: () => void) => void;
 };
 
 /** Charges requests to their organisations in order of arrival. */
@@ -39,7 +39,7 @@
 const MIN_WAIT_MS: Millis = 1;
 
 /** Creates the queue of requests that wait for tokens; `waitForAllowance` decides which requests wait. */
-export function createAllowanceQueue({ clock, allowances, later }: QueueParts): AllowanceQueue {
+export function createAllowanceQueue({ clock, allowances, schedule }: QueueParts): AllowanceQueue {
     const queues = new Map<OrganisationId, QueuedCharge[]>();
 
     const decide = (charge: Charge, refusal: Refusal, ahead: readonly Charge[]): ReturnType<typeof waitForAllowance> =>
@@ -64,7 +64,7 @@
         const refusal = outcome.swap().toMaybe().extract();
         const decision = refusal === undefined || head.signal.aborted ? undefined : decide(head, refusal, []);
         if (decision?.kind === "wait") {
-            later(Math.max(MIN_WAIT_MS, decision.waitMs), () => serve(id));
+            schedule(Math.max(MIN_WAIT_MS, decision.waitMs), () => serve(id));
             return;
         }
         queue.shift();
@@ -75,7 +75,7 @@
     const charge: AllowanceQueue["charge"] = async request => {
         const { organisation, tokens } = request;
         const queue = queues.get(organisation.id) ?? [];
-        allowances.noteDemand(organisation, tokens);
+        allowances.recordDemand(organisation, tokens);
         const outcome = queue.length === 0
             ? allowances.spend(organisation, tokens)
             : Left(allowances.refusal(organisation, tokens));
@@ -91,7 +91,7 @@
             queue.push({ ...request, settle });
             if (queue.length === 1) {
                 queues.set(organisation.id, queue);
-                later(Math.max(MIN_WAIT_MS, waitMs), () => serve(organisation.id));
+                schedule(Math.max(MIN_WAIT_MS, waitMs), () => serve(organisation.id));
             }
         });
     };
--- a/packages/router/src/allowance/createAllowances.ts
+++ b/packages/router/src/allowance/createAllowances.ts
@@ -12,9 +12,9 @@
 import { createOrganisationDemand } from "./createOrganisationDemand.js";
 import { createRelayCounters } from "./createRelayCounters.js";
 import { createRelayedSpending } from "./createRelayedSpending.js";
-import type { Hearing } from "./Hearing.js";
 import { isExpired } from "./isExpired.js";
 import { openSharedAllowance } from "./openSharedAllowance.js";
+import type { PeerLiveness } from "./PeerLiveness.js";
 import { receiveSpending } from "./receiveSpending.js";
 import { refillWaitMs } from "./refillWaitMs.js";
 import { refundShared } from "./refundShared.js";
@@ -25,7 +25,7 @@
 
 type SpendingUpdate = Pick<
     Beacon,
-    "vm" | "incarnation" | "failureDomain" | "sequence" | "scope" | "upMs" | "spent" | "passedSpent"
+    "vm" | "incarnation" | "failureDomain" | "sequence" | "scope" | "upMs" | "spent" | "relayedSpent"
 >;
 
 /** The allowances of all organisations, as this VM computes them. */
@@ -33,7 +33,7 @@
     /** Opens the allowances of new organisations, so that they fill before the first request. */
     readonly open: (organisations: Iterable<Organisation>) => void;
     /** Records a request's demand; to be called once per request, however often charging it fails. */
-    readonly noteDemand: (organisation: Organisation, tokens: Tokens) => void;
+    readonly recordDemand: (organisation: Organisation, tokens: Tokens) => void;
     /** Spends a request's tokens; Left if the organisation has used up its rate. */
     readonly spend: (organisation: Organisation, tokens: Tokens) => Either<Refusal, void>;
     /** Returns the refusal of a request that cannot be charged now, with the time after which it could be. */
@@ -45,13 +45,13 @@
      * @param role role of the sender as seen by this VM
      * @param isRestarted whether the sender is another process than at its previous beacon
      */
-    readonly hear: (beacon: SpendingUpdate, role: VmRole, isRestarted: boolean) => void;
+    readonly applyBeacon: (beacon: SpendingUpdate, role: VmRole, isRestarted: boolean) => void;
     /** Lowest level of all allowances, each as of its last use; 0 if there are none. */
-    readonly least: () => Tokens;
+    readonly minLevel: () => Tokens;
     /** By organisation: tokens spent by this process, and its demand in tokens per second. */
     readonly spent: () => Beacon["spent"];
     /** The same for the VMs whose state this relay sends on, by receiver: without what the receiver spends itself. */
-    readonly passed: (scope: "domain" | "fleet") => (target: VmId | undefined) => Beacon["passedSpent"];
+    readonly relayedSpent: (scope: "domain" | "fleet") => (target: VmId | undefined) => Beacon["relayedSpent"];
 };
 
 const MS_PER_SECOND = 1_000;
@@ -67,11 +67,11 @@
  * @param liveness the other VMs, and which of them are silent
  * @param random evenly distributed from 0 up to 1
  */
-export function createAllowances(clock: Clock, liveness: () => Hearing, random: () => number): Allowances {
+export function createAllowances(clock: Clock, liveness: () => PeerLiveness, random: () => number): Allowances {
     const all = new Map<OrganisationId, SharedAllowance>();
     const demand = createOrganisationDemand(clock);
     const relayedSpending = createRelayedSpending();
-    const relayCounters = createRelayCounters(clock, () => liveness().newsMs);
+    const relayCounters = createRelayCounters(clock, () => liveness().propagationMs);
 
     /**
      * Returns whether a request is in the random part that the bucket can cover until all VMs know of each other's
@@ -82,7 +82,7 @@
             level: level + overdraft,
             ratePerSecond,
             demandPerSecond: demand.total(id),
-            propagationMs: liveness().newsMs,
+            propagationMs: liveness().propagationMs,
         });
 
     const current = ({ id, ratePerSecond, burst }: Organisation): SharedAllowance | undefined => {
@@ -105,11 +105,11 @@
         tokens: Tokens,
         waitMs: Millis,
     ): Refusal => {
-        const { peers, unheard } = liveness();
+        const { peers, silent } = liveness();
         const inDemand = Math.round(demand.total(organisation.id));
         const detail =
             `${organisation.id}: level ${Math.round(allowance?.level ?? 0)}, rate ${organisation.ratePerSecond}, `
-            + `demand ${inDemand}, asked ${tokens}, ${peers} other VMs, ${unheard.length} of them out of hearing`;
+            + `demand ${inDemand}, asked ${tokens}, ${peers} other VMs, ${silent.length} of them out of hearing`;
         return refusalOf("over-rate", detail, { retryAfterSeconds: waitMs / MS_PER_SECOND });
     };
     const refusal: Allowances["refusal"] = (organisation, tokens) => {
@@ -125,7 +125,7 @@
         const spent = admitted ? spendShared(allowance, tokens) : undefined;
         all.set(organisation.id, spent ?? allowance);
         // If the bucket holds tokens, updates of other VMs decide, so the caller waits until they have arrived.
-        const waitMs = admitted ? refillWaitMs(allowance) : Math.max(refillWaitMs(allowance), liveness().newsMs);
+        const waitMs = admitted ? refillWaitMs(allowance) : Math.max(refillWaitMs(allowance), liveness().propagationMs);
         return spent === undefined ? Left(refusalAt(organisation, allowance, tokens, waitMs)) : Right(undefined);
     };
     const refund: Allowances["refund"] = (organisation, tokens) => {
@@ -155,38 +155,38 @@
             relayedSpending.record(id, vm, role, added);
         });
     const receiveRelayed = (beacon: SpendingUpdate, role: VmRole): void => {
-        const { vm, incarnation, failureDomain, sequence, scope, upMs, passedSpent } = beacon;
+        const { vm, incarnation, failureDomain, sequence, scope, upMs, relayedSpent } = beacon;
         const spender: Spender = scope === "fleet" ? "fleet" : `domain ${failureDomain}`;
-        passedSpent.forEach(([id, , perSecond]) => demand.receiveDemand(spender, id, perSecond));
+        relayedSpent.forEach(([id, , perSecond]) => demand.receiveDemand(spender, id, perSecond));
         const added = relayCounters.receiveUpdate({
             spender,
             relay: `${vm}/${incarnation}`,
             sequence,
-            rows: passedSpent.map(([id, tokens]) => [id, tokens] as const),
+            rows: relayedSpent.map(([id, tokens]) => [id, tokens] as const),
             assumedFrom: id => all.get(id)?.peers.get(spender)?.assumedFrom,
             isStartedLater: id => isStartedLater(id, upMs),
         });
         // While VMs differ on which VMs are relays, spending that reaches both a relay and a VM behind it must not
         // count twice.
-        const isForThisVm = role === (scope === "fleet" ? "relay" : "foreign");
+        const isForThisVm = role === (scope === "fleet" ? "relay" : "remote-relay");
         (isForThisVm ? added : []).forEach(([id, tokens]) => {
             const before = all.get(id)?.peers.get(spender)?.spent;
             debit(id, spender, (before ?? 0) + tokens, before === undefined);
             if (scope === "domain") {
-                relayedSpending.record(id, spender, "foreign", tokens);
+                relayedSpending.record(id, spender, "remote-relay", tokens);
             }
         });
     };
-    const hear: Allowances["hear"] = (beacon, role, isRestarted) => {
+    const applyBeacon: Allowances["applyBeacon"] = (beacon, role, isRestarted) => {
         // The spending of an indirect VM is also sent by its relays.
-        if (role !== "stranger") {
+        if (role !== "indirect") {
             receiveOwn(beacon, role, isRestarted);
         }
         if (beacon.scope === "domain" || beacon.scope === "fleet") {
             receiveRelayed(beacon, role);
         }
     };
-    const passed: Allowances["passed"] = scope => {
+    const relayedSpent: Allowances["relayedSpent"] = scope => {
         const rows = [...all.keys()].map(id => ({
             id,
             tokens: relayedSpending.total(scope, id),
@@ -203,13 +203,13 @@
     };
     return {
         open,
-        noteDemand: ({ id }, tokens) => demand.record(id, tokens),
+        recordDemand: ({ id }, tokens) => demand.record(id, tokens),
         spend,
         refusal,
         refund,
-        hear,
-        least: () => all.size === 0 ? 0 : Math.min(...[...all.values()].map(({ level }) => level)),
-        passed,
+        applyBeacon,
+        minLevel: () => all.size === 0 ? 0 : Math.min(...[...all.values()].map(({ level }) => level)),
+        relayedSpent,
         spent: () => [...all].map(([id, { ownSpent }]) => [id, ownSpent, Math.round(demand.own(id))] as const),
     };
 }
--- a/packages/router/src/allowance/createOrganisationDemand.ts
+++ b/packages/router/src/allowance/createOrganisationDemand.ts
@@ -39,7 +39,7 @@
         record: (organisation, tokens) => {
             const demand = owns.get(organisation) ?? createDemand(clock, WINDOW_MS);
             owns.set(organisation, demand);
-            demand.note(tokens);
+            demand.record(tokens);
         },
         receiveDemand: (spender, organisation, perSecond) => {
             const bySpender = received.get(organisation) ?? new Map<Spender, ReceivedDemand>();
--- a/packages/router/src/allowance/createRelayedSpending.ts
+++ b/packages/router/src/allowance/createRelayedSpending.ts
@@ -35,7 +35,7 @@
     const roles = new Map<Spender, VmRole>();
 
     const scopesOf = (role: VmRole | undefined): readonly RelayScope[] =>
-        role === "leaf" ? ["domain", "fleet"] : role === "foreign" ? ["fleet"] : [];
+        role === "leaf" ? ["domain", "fleet"] : role === "remote-relay" ? ["fleet"] : [];
 
     const record: RelayedSpending["record"] = (organisation, spender, role, tokens) => {
         roles.set(spender, role);
--- a/packages/router/src/allowance/overdraftOf.ts
+++ b/packages/router/src/allowance/overdraftOf.ts
@@ -1,6 +1,6 @@
 import type { Millis, Tokens } from "@azureshunt/core";
 
-import type { Hearing } from "./Hearing.js";
+import type { PeerLiveness } from "./PeerLiveness.js";
 
 /** Fraction of the burst that all VMs together may spend ahead of the refill after they have all restarted. */
 const OVERDRAFT_FRACTION = 0.5;
@@ -12,7 +12,7 @@
     readonly burst: Tokens;
     /** Time since this process opened the allowance. */
     readonly ageMs: Millis;
-    readonly liveness: Omit<Hearing, "newsMs">;
+    readonly liveness: Omit<PeerLiveness, "propagationMs">;
 };
 
 /**
--- a/packages/router/src/configuration/Organisation.ts
+++ b/packages/router/src/configuration/Organisation.ts
@@ -14,5 +14,5 @@
     readonly ratePerSecond: Tokens | undefined;
     readonly burst: Tokens;
     /** Tokens charged for a request that does not state how many it needs. */
-    readonly plainTokens: Tokens;
+    readonly defaultTokens: Tokens;
 };
--- a/packages/router/src/dispatch/EndpointCall.ts
+++ b/packages/router/src/dispatch/EndpointCall.ts
@@ -10,7 +10,7 @@
     readonly headers: readonly string[];
     readonly body: Buffer;
     /** Maximum idle time of a connection that may be reused for this call. */
-    readonly keptIdleMs: Millis;
+    readonly maxIdleMs: Millis;
     /** Time limit for the head of the answer. After it the try counts as silent, unless `isAlive` returns true. */
     readonly headMs: Millis;
     /**
--- a/packages/router/src/dispatch/callOnce.ts
+++ b/packages/router/src/dispatch/callOnce.ts
@@ -25,7 +25,7 @@
 ): Promise<CallResult> {
     // `AbortSignal.timeout` throws on a fraction of a millisecond, which would end the process.
     const signal = AbortSignal.timeout(Math.ceil(timeoutMs));
-    const opened = await openCall(agent, { ...call, address, keptIdleMs: MAX_IDLE_MS, headMs: timeoutMs }, signal);
+    const opened = await openCall(agent, { ...call, address, maxIdleMs: MAX_IDLE_MS, headMs: timeoutMs }, signal);
     if (opened.kind !== "head") {
         return { kind: opened.kind === "unreached" ? "unreached" : "lost" };
     }
--- a/packages/router/src/dispatch/createEventSplitter.ts
+++ b/packages/router/src/dispatch/createEventSplitter.ts
@@ -18,12 +18,12 @@
  * Creates a splitter of a stream's bytes into complete events. If an endpoint dies in the middle of an event, the
  * partial event is never returned.
  *
- * @returns `push`, which takes the next bytes and returns the events completed by them, and `rest`, the number of bytes
+ * @returns `push`, which takes the next bytes and returns the events completed by them, and `bufferedBytes`, the number of bytes
  *   of the incomplete event
  */
 export function createEventSplitter(): {
     readonly push: (chunk: Buffer) => readonly StreamEvent[];
-    readonly rest: () => number;
+    readonly bufferedBytes: () => number;
 } {
     const buffered: { bytes: Buffer; } = { bytes: Buffer.alloc(0) };
     const takeEvents = (): readonly StreamEvent[] => {
@@ -39,5 +39,5 @@
         buffered.bytes = buffered.bytes.length === 0 ? chunk : Buffer.concat([buffered.bytes, chunk]);
         return takeEvents();
     };
-    return { push, rest: () => buffered.bytes.length };
+    return { push, bufferedBytes: () => buffered.bytes.length };
 }
--- a/packages/router/src/dispatch/endsWhole.ts
+++ b/packages/router/src/dispatch/isComplete.ts
@@ -7,6 +7,6 @@
     headers["content-length"] !== undefined || headers["transfer-encoding"] !== undefined;
 
 /** Returns whether an answer that has just ended is complete. Must be called in the handler of its `end` event. */
-export function endsWhole({ res, isBroken, wasReset }: Extract<OpenedCall, { kind: "head"; }>): boolean {
+export function isComplete({ res, isBroken, wasReset }: Extract<OpenedCall, { kind: "head"; }>): boolean {
     return res.complete && !isBroken() && (isFramed(res) || !wasReset());
 }
--- a/packages/router/src/dispatch/openCall.ts
+++ b/packages/router/src/dispatch/openCall.ts
@@ -31,7 +31,7 @@
  */
 export function openCall(agent: EndpointAgent, call: EndpointCall, signal: AbortSignal): Promise<OpenedCall> {
     const [host, port] = call.address.split(":");
-    agent.destroyIdle(call.address, call.keptIdleMs);
+    agent.destroyIdle(call.address, call.maxIdleMs);
     return new Promise(resolve => {
         if (signal.aborted) {
             resolve({ kind: "cancelled" });
--- a/packages/router/src/dispatch/readAnswer.ts
+++ b/packages/router/src/dispatch/readAnswer.ts
@@ -1,4 +1,4 @@
-import { endsWhole } from "./endsWhole.js";
+import { isComplete } from "./isComplete.js";
 import type { OpenedCall } from "./OpenedCall.js";
 
 /** Size limit of an answer that is buffered in memory before it goes to the caller. */
@@ -27,6 +27,6 @@
         });
         res.on("error", () => resolve(undefined));
         res.on("close", () => resolve(undefined));
-        res.on("end", () => resolve(endsWhole(opened) ? Buffer.concat(chunks) : undefined));
+        res.on("end", () => resolve(isComplete(opened) ? Buffer.concat(chunks) : undefined));
     });
 }
--- a/packages/router/src/fleet/EngineOrder.ts
+++ b/packages/router/src/fleet/EngineOrder.ts
@@ -4,7 +4,7 @@
 export type EngineOrder = {
     readonly version: number;
     /** When it was issued; distinguishes it from other orders to the same engine. */
-    readonly givenAt: Millis;
+    readonly issuedAt: Millis;
     /** When it was issued, or last seen in progress. */
     readonly seenAt: Millis;
     /** Whether this VM issued it. */
--- a/packages/router/src/fleet/OrderLeaseEvent.ts
+++ b/packages/router/src/fleet/OrderLeaseEvent.ts
@@ -12,8 +12,8 @@
     /** A call failed: another record came first, or no answer came. The stream has to be read. */
     | { readonly kind: "call-failed"; }
     /** A peer reports that a record has existed for `ageMs`. */
-    | { readonly kind: "vouched"; readonly offset: number; readonly holder: VmId; readonly ageMs: Millis; }
+    | { readonly kind: "peer-record"; readonly offset: number; readonly holder: VmId; readonly ageMs: Millis; }
     /** The process may have been suspended. */
-    | { readonly kind: "paused"; }
+    | { readonly kind: "suspended"; }
     /** `rank`: how many VMs may claim before this one; `isWanted`: whether there are orders to issue. */
     | { readonly kind: "tick"; readonly isWanted: boolean; readonly rank: number; };
--- a/packages/router/src/fleet/createLeaseKeeper.ts
+++ b/packages/router/src/fleet/createLeaseKeeper.ts
@@ -13,7 +13,7 @@
     readonly vm: VmId;
     readonly store: StorePort;
     readonly logger: Logger;
-    readonly checkPause: () => void;
+    readonly checkSuspension: () => void;
     /** Time for which an engine accepts orders only from the issuer of its last one. */
     readonly leaseMs: () => number;
     /** Called when this VM has appended a record of the lease. */
@@ -64,7 +64,7 @@
     const append = async (at: number): Promise<void> => {
         const requestedAt = clock.now();
         const appended = await store.appendAt(TOPIC, at, Buffer.from(parts.vm));
-        parts.checkPause();
+        parts.checkSuspension();
         appended.caseOf({
             Left: failure => {
                 logger.info({ failure: failure.kind, at }, "Order lease not acquired: the append failed.");
--- a/packages/router/src/fleet/followOrder.ts
+++ b/packages/router/src/fleet/followOrder.ts
@@ -2,7 +2,7 @@
 
 import { callOnce } from "../dispatch/callOnce.js";
 import type { EndpointAgent } from "../dispatch/EndpointAgent.js";
-import type { EndpointBook } from "../placement/EndpointBook.js";
+import type { EndpointTable } from "../placement/EndpointTable.js";
 import type { EndpointWire } from "../ports/EndpointWire.js";
 import type { EngineOrder } from "./EngineOrder.js";
 import { orderTiming } from "./orderTiming.js";
@@ -11,14 +11,14 @@
     readonly endpoint: EndpointName;
     readonly model: ModelName;
     readonly version: number;
-    readonly givenAt: Millis;
+    readonly issuedAt: Millis;
     /** Number of orders that the engine was assumed to have accepted before this one. */
     readonly ordersBefore: number;
 };
 
 type FollowParts = {
     readonly clock: Clock;
-    readonly book: EndpointBook;
+    readonly endpointTable: EndpointTable;
     readonly agent: EndpointAgent;
     readonly wire: EndpointWire;
 };
@@ -40,28 +40,28 @@
     order: FollowedOrder,
     onEnd: (seen: number | undefined) => void,
 ): Promise<void> {
-    const { clock, book, agent, wire } = parts;
-    const { endpoint, model, version, givenAt, ordersBefore } = order;
-    const entry = book.entryOf(endpoint);
+    const { clock, endpointTable, agent, wire } = parts;
+    const { endpoint, model, version, issuedAt, ordersBefore } = order;
+    const entry = endpointTable.entryOf(endpoint);
     const res = entry === undefined
         ? undefined
         : await callOnce(agent, entry.address, wire.reportCall, orderTiming.answerMs);
     const state = res?.kind === "answer" && res.status === OK ? wire.decodeReport(res.body) : undefined;
     const seen = state?.versions.get(model);
     const currentOrder = (): EngineOrder | undefined =>
-        book.engines(model).find(engine => engine.endpoint === endpoint)?.order;
+        endpointTable.engines(model).find(engine => engine.endpoint === endpoint)?.order;
     if (seen !== undefined) {
-        book.sawWeights(endpoint, seen, state?.ordersTaken);
+        endpointTable.observeWeights(endpoint, seen, state?.ordersTaken);
     }
-    if (state?.isBusy === true && currentOrder()?.givenAt === givenAt) {
-        book.ordered(endpoint, { version, givenAt, seenAt: clock.now(), isOwn: true });
+    if (state?.isBusy === true && currentOrder()?.issuedAt === issuedAt) {
+        endpointTable.recordOrder(endpoint, { version, issuedAt, seenAt: clock.now(), isOwn: true });
     }
     // The engine accepted other orders than expected, and none is in progress: this order is void, and another one may
     // follow.
     if (state !== undefined && !state.isBusy && (seen ?? 0) < version && state.ordersTaken !== ordersBefore) {
-        book.orderOver(endpoint, givenAt);
+        endpointTable.orderEnded(endpoint, issuedAt);
     }
-    if (currentOrder()?.givenAt !== givenAt) {
+    if (currentOrder()?.issuedAt !== issuedAt) {
         onEnd(seen);
         return;
     }
--- a/packages/router/src/fleet/leaseRank.ts
+++ b/packages/router/src/fleet/leaseRank.ts
@@ -1,6 +1,6 @@
 import type { Millis, VmId } from "@azureshunt/core";
 
-import { livingReaders } from "../peers/livingReaders.js";
+import { liveReaders } from "../peers/liveReaders.js";
 import type { Members } from "../peers/Members.js";
 
 /**
@@ -11,7 +11,7 @@
     if (lastHolder === members.vm) {
         return 0;
     }
-    const readers = livingReaders(members, now);
+    const readers = liveReaders(members, now);
     const before = readers.filter(vm => vm !== lastHolder && vm < members.vm).length;
     // A VM that does not read the store claims after all VMs that do.
     const lastHolderCount = lastHolder === undefined ? 0 : 1;
--- a/packages/router/src/fleet/startOrders.ts
+++ b/packages/router/src/fleet/startOrders.ts
@@ -3,8 +3,8 @@
 
 import { callOnce } from "../dispatch/callOnce.js";
 import type { EndpointAgent } from "../dispatch/EndpointAgent.js";
-import type { Knowledge } from "../knowledge/Knowledge.js";
-import type { EndpointBook } from "../placement/EndpointBook.js";
+import type { DeclaredState } from "../knowledge/DeclaredState.js";
+import type { EndpointTable } from "../placement/EndpointTable.js";
 import type { EndpointWire } from "../ports/EndpointWire.js";
 import type { StorePort } from "../ports/StorePort.js";
 import { createLeaseKeeper } from "./createLeaseKeeper.js";
@@ -20,12 +20,12 @@
     readonly clock: Clock;
     readonly vm: VmId;
     readonly store: StorePort;
-    readonly book: EndpointBook;
+    readonly endpointTable: EndpointTable;
     readonly agent: EndpointAgent;
     readonly wire: EndpointWire;
-    readonly knowledge: () => Knowledge;
+    readonly declaredState: () => DeclaredState;
     readonly logger: Logger;
-    readonly checkPause: () => void;
+    readonly checkSuspension: () => void;
     /** Time for which an engine accepts orders only from the issuer of its last one. */
     readonly leaseMs: () => Millis;
     /** How many VMs may claim the lease before this one, given its last holder. */
@@ -35,12 +35,12 @@
     /** Prompt tokens per millisecond that callers send to all VMs. */
     readonly demand: () => Tokens;
     /** Sends the other VMs soon, before the next round, which engines were ordered. */
-    readonly tellPeers: () => void;
+    readonly sendSoon: () => void;
 };
 
 /** Issues orders to engines while this VM holds the lease. */
 type Orders = {
-    readonly tell: (event: OrderLeaseEvent) => void;
+    readonly applyLeaseEvent: (event: OrderLeaseEvent) => void;
     readonly lease: () => OrderLease;
     /** Issues due orders; called ten times per second. */
     readonly tick: () => void;
@@ -54,53 +54,53 @@
 
 /** Maintains the order lease and, while this VM holds it, brings all engines to the newest target weights. */
 export function startOrders(parts: OrderParts): Orders {
-    const { clock, book, knowledge, logger } = parts;
+    const { clock, endpointTable, declaredState, logger } = parts;
     const keeper = createLeaseKeeper({ ...parts, onAppended: () => issueDueOrders() });
 
     const wanted = (): readonly (readonly [ModelName, number])[] =>
-        [...knowledge().weights]
+        [...declaredState().weights]
             .flatMap(([model, [target]]) => target === undefined ? [] : [[model, target.version] as const])
-            .filter(([model, version]) => book.isAnyBehind(model, version));
+            .filter(([model, version]) => endpointTable.isAnyOutdated(model, version));
 
     const onOrderEnded = (
         { endpoint, model }: { readonly endpoint: EndpointName; readonly model: ModelName; },
         seen: number | undefined,
     ): void => {
         logger.info({ endpoint, model, version: seen }, "Order ended.");
-        parts.tellPeers();
+        parts.sendSoon();
         issueDueOrders();
     };
 
     const issueOrder = async (endpoint: EndpointName, model: ModelName, version: number): Promise<void> => {
-        const entry = book.entryOf(endpoint);
-        const engine = book.engines(model).find(each => each.endpoint === endpoint);
-        parts.checkPause();
+        const entry = endpointTable.entryOf(endpoint);
+        const engine = endpointTable.engines(model).find(each => each.endpoint === endpoint);
+        parts.checkSuspension();
         const fence = orderFence(keeper.current(), clock.now());
         if (entry === undefined || engine === undefined || fence === undefined) {
             return;
         }
         const { ordersTaken } = engine;
-        const givenAt = clock.now();
-        book.ordered(endpoint, { version, givenAt, seenAt: givenAt, isOwn: true });
-        parts.tellPeers();
+        const issuedAt = clock.now();
+        endpointTable.recordOrder(endpoint, { version, issuedAt, seenAt: issuedAt, isOwn: true });
+        parts.sendSoon();
         const call = parts.wire.encodeOrder({ endpoint, model, version, holder: parts.vm, fence, ordersTaken });
         const res = await callOnce(parts.agent, entry.address, call, orderTiming.answerMs);
         const status = res.kind === "answer" ? res.status : undefined;
         logger.info({ endpoint, model, version, fence, ordersTaken, status, answer: res.kind }, "Order issued.");
         if (status === ALREADY_LOADED) {
-            book.sawWeights(endpoint, version);
+            endpointTable.observeWeights(endpoint, version);
             return;
         }
         if (res.kind === "unreached") {
-            book.unreached(endpoint);
+            endpointTable.recordUnreached(endpoint);
         }
         if (res.kind === "unreached" || (status !== undefined && status !== ACCEPTED && status !== CONFLICT)) {
-            book.orderOver(endpoint, givenAt);
+            endpointTable.orderEnded(endpoint, issuedAt);
             return;
         }
         // After a conflict, the engine's own number of accepted orders must be read before it can be ordered again.
         const delayMs = status === CONFLICT ? 0 : orderTiming.firstReportMs;
-        const followed = { endpoint, model, version, givenAt, ordersBefore: ordersTaken };
+        const followed = { endpoint, model, version, issuedAt, ordersBefore: ordersTaken };
         setTimeout(() => void followOrder(parts, followed, seen => onOrderEnded(followed, seen)), delayMs);
     };
 
@@ -110,7 +110,7 @@
         }
         wanted().forEach(([model, version]) =>
             planWave({
-                engines: book.engines(model),
+                engines: endpointTable.engines(model),
                 version,
                 servesForMs: parts.servesForMs(),
                 demand: parts.demand(),
@@ -130,7 +130,7 @@
         lastLogged.at = clock.now();
         wanted().forEach(([model, version]) =>
             logger.info(
-                { model, version, ...rolloutOf(book.engines(model), version) },
+                { model, version, ...rolloutOf(endpointTable.engines(model), version) },
                 "Rollout of weights in progress.",
             )
         );
@@ -144,5 +144,5 @@
             logRollout();
         }
     };
-    return { tell: keeper.apply, lease: keeper.current, tick };
+    return { applyLeaseEvent: keeper.apply, lease: keeper.current, tick };
 }
--- a/packages/router/src/fleet/stepOrderLease.ts
+++ b/packages/router/src/fleet/stepOrderLease.ts
@@ -36,7 +36,7 @@
         confirmedAt: requestedAt > state.suspendedAt ? requestedAt : -Infinity,
     });
 
-const peerRecord = (state: OrderLease, event: EventOf<"vouched">, now: Millis): LeaseStep => {
+const peerRecord = (state: OrderLease, event: EventOf<"peer-record">, now: Millis): LeaseStep => {
     const { offset, holder, ageMs } = event;
     const since = now - ageMs;
     if (offset < (state.tail?.offset ?? -1)) {
@@ -97,9 +97,9 @@
         case "call-failed":
             // The end is unknown now: the lost append may have taken effect, or may still do so.
             return only({ ...state, isCallPending: false, end: undefined });
-        case "vouched":
+        case "peer-record":
             return peerRecord(state, event, now);
-        case "paused":
+        case "suspended":
             return only({ ...state, confirmedAt: -Infinity, suspendedAt: now });
         case "tick":
             return tick(state, event, leaseMs, now);
--- a/packages/router/src/knowledge/Knowledge.ts
+++ b/packages/router/src/knowledge/DeclaredState.ts
@@ -11,11 +11,11 @@
 /**
  * The configuration and target weights that operators declared, as one VM knows them. Times are of its monotonic clock.
  */
-export type Knowledge = {
+export type DeclaredState = {
     /** The newest configuration that this process received; never replaced by an older one. */
     readonly configuration: RoutingConfiguration | undefined;
     /** The newest revision known to exist; above that of `configuration` until the newer one is read. */
-    readonly heardRevision: number;
+    readonly newestRevision: number;
     /** Time as of which `configuration` was known to be the newest; `-Infinity` until that is confirmed. */
     readonly confirmedAt: Millis;
     /** When the process last detected a suspension; `-Infinity` if it never did. */
--- a/packages/router/src/knowledge/createPauseWatch.ts
+++ b/packages/router/src/knowledge/createSuspensionWatch.ts
@@ -22,7 +22,7 @@
  *
  * @param onSuspended called with the milliseconds by which the clocks moved apart
  */
-export function createPauseWatch(clock: Clock, onSuspended: (jumpMs: number) => void): SuspensionWatch {
+export function createSuspensionWatch(clock: Clock, onSuspended: (jumpMs: number) => void): SuspensionWatch {
     const last = { offset: clock.epoch() - clock.now() };
     const check = (): void => {
         const offset = clock.epoch() - clock.now();
--- a/packages/router/src/knowledge/declarationsDueIn.ts
+++ b/packages/router/src/knowledge/declarationsDueIn.ts
@@ -1,6 +1,6 @@
 import type { Millis } from "@azureshunt/core";
 
-import type { Knowledge } from "./Knowledge.js";
+import type { DeclaredState } from "./DeclaredState.js";
 
 /**
  * Age of the last confirmation at which a VM that leaves reading to another one reads for itself: early enough for a
@@ -12,9 +12,9 @@
 const MIN_READ_INTERVAL_MS: Millis = 250;
 
 type DueInputs = {
-    readonly knowledge: Knowledge;
+    readonly declaredState: DeclaredState;
     /** When this VM last sent a read to the store; `-Infinity` until then. */
-    readonly askedAt: Millis;
+    readonly requestedAt: Millis;
     /** Whether this VM reads the declarations for the others of its failure domain. */
     readonly isReader: boolean;
 };
@@ -27,11 +27,11 @@
  * revision number reads at once. A VM whose last confirmation gets old, since its reader died or is cut off, reads for
  * itself; this needs no agreement between VMs.
  */
-export function declarationsDueIn({ knowledge, askedAt, isReader }: DueInputs, now: Millis): Millis {
+export function declarationsDueIn({ declaredState, requestedAt, isReader }: DueInputs, now: Millis): Millis {
     if (isReader) {
         return 0;
     }
-    const isOutdated = knowledge.heardRevision > (knowledge.configuration?.revision ?? -1);
-    const dueAt = isOutdated ? -Infinity : knowledge.confirmedAt + FOLLOWER_READ_AGE_MS;
-    return Math.max(dueAt, askedAt + MIN_READ_INTERVAL_MS) - now;
+    const isOutdated = declaredState.newestRevision > (declaredState.configuration?.revision ?? -1);
+    const dueAt = isOutdated ? -Infinity : declaredState.confirmedAt + FOLLOWER_READ_AGE_MS;
+    return Math.max(dueAt, requestedAt + MIN_READ_INTERVAL_MS) - now;
 }
--- a/packages/router/src/knowledge/noKnowledge.ts
+++ b/packages/router/src/knowledge/initialDeclaredState.ts
@@ -1,12 +1,12 @@
-import type { Knowledge } from "./Knowledge.js";
+import type { DeclaredState } from "./DeclaredState.js";
 
 /** The declared state as a process knows it when it starts. */
-const noKnowledge: Knowledge = {
+const initialDeclaredState: DeclaredState = {
     configuration: undefined,
-    heardRevision: -1,
+    newestRevision: -1,
     confirmedAt: -Infinity,
     suspendedAt: -Infinity,
     weights: new Map(),
 };
 
-export { noKnowledge };
+export { initialDeclaredState };
--- a/packages/router/src/knowledge/startKnowledge.ts
+++ b/packages/router/src/knowledge/startDeclarations.ts
@@ -4,7 +4,7 @@
 
 import { callOnce } from "../dispatch/callOnce.js";
 import type { EndpointAgent } from "../dispatch/EndpointAgent.js";
-import type { Heard } from "../peers/Heard.js";
+import type { ReceivedBeacon } from "../peers/ReceivedBeacon.js";
 import type { DirectoryWire } from "../ports/DirectoryWire.js";
 import type { StorePort } from "../ports/StorePort.js";
 import { createTopicMirror } from "../store/createTopicMirror.js";
@@ -12,10 +12,10 @@
 import type { TopicAnswer } from "../store/TopicAnswer.js";
 import type { DeclarationEvent } from "./DeclarationEvent.js";
 import { declarationsDueIn } from "./declarationsDueIn.js";
-import type { Knowledge } from "./Knowledge.js";
-import { noKnowledge } from "./noKnowledge.js";
+import type { DeclaredState } from "./DeclaredState.js";
+import { initialDeclaredState } from "./initialDeclaredState.js";
 import { readerWaitMs } from "./readerWaitMs.js";
-import { stepKnowledge } from "./stepKnowledge.js";
+import { stepDeclaredState } from "./stepDeclaredState.js";
 
 type DeclarationParts = {
     readonly clock: Clock;
@@ -25,21 +25,21 @@
     readonly logger: Logger;
     readonly metrics: Metrics;
     /** Called when this VM learnt something that the other VMs should receive soon. */
-    readonly onNews: () => void;
+    readonly onChange: () => void;
     /** Whether this VM reads the declarations for the others of its failure domain. */
     readonly isReader: () => boolean;
     /** Time between two beacons to one VM. */
-    readonly newsEveryMs: () => Millis;
+    readonly beaconIntervalMs: () => Millis;
     /** Queries a relay for a topic; see `followTopic`. */
-    readonly askRelay: (topic: string, from: number | undefined) => Promise<TopicAnswer | undefined>;
-    readonly isHeld: () => boolean;
+    readonly queryRelay: (topic: string, from: number | undefined) => Promise<TopicAnswer | undefined>;
+    readonly mustWaitForRelay: () => boolean;
     /** Checks whether the process was suspended, before an answer counts as fresh. */
-    readonly checkPause: () => void;
+    readonly checkSuspension: () => void;
 };
 
 /** The operators' declarations, as this VM knows them. */
 type Declarations = {
-    readonly current: () => Knowledge;
+    readonly current: () => DeclaredState;
     /** The configuration as read, undecoded; `undefined` until there is one. */
     readonly raw: () => Buffer | undefined;
     readonly hasStore: () => boolean;
@@ -48,8 +48,8 @@
      */
     readonly answer: (from: number | undefined) => TopicAnswer | undefined;
     /** @param address peer address of the beacon's sender */
-    readonly hear: (heard: Heard, address: string) => void;
-    readonly pause: () => void;
+    readonly applyBeacon: (received: ReceivedBeacon, address: string) => void;
+    readonly onSuspended: () => void;
     readonly stop: () => void;
 };
 
@@ -63,17 +63,17 @@
 const OK = 200;
 
 /** Follows the operators' declarations in the store and through the other VMs. */
-export function startKnowledge(parts: DeclarationParts): Declarations {
+export function startDeclarations(parts: DeclarationParts): Declarations {
     const { clock, wire, logger, metrics } = parts;
     const mirror = createTopicMirror((before, now) => before.equals(now));
     const state = {
-        knowledge: noKnowledge,
+        declaredState: initialDeclaredState,
         raw: undefined as Buffer | undefined,
         /** The newest revision read from the topic, as opposed to fetched from another VM. */
         readRevision: -1,
         storeAt: -Infinity,
         /** When the last answered read was sent. */
-        askedAt: -Infinity,
+        requestedAt: -Infinity,
         isStoreAvailable: false,
         storeChangedAt: clock.now(),
         isFetching: false,
@@ -82,15 +82,15 @@
     };
 
     const apply = (event: DeclarationEvent): void => {
-        const before = state.knowledge;
-        state.knowledge = stepKnowledge(before, event, clock.now());
-        if (state.knowledge.configuration !== before.configuration) {
-            logger.info({ revision: state.knowledge.configuration?.revision }, "Configuration in force.");
-            parts.onNews();
+        const before = state.declaredState;
+        state.declaredState = stepDeclaredState(before, event, clock.now());
+        if (state.declaredState.configuration !== before.configuration) {
+            logger.info({ revision: state.declaredState.configuration?.revision }, "Configuration in force.");
+            parts.onChange();
         }
-        if (state.knowledge.weights !== before.weights && event.kind === "weights") {
+        if (state.declaredState.weights !== before.weights && event.kind === "weights") {
             logger.info({ model: event.model, version: event.version }, "Target weights changed.");
-            parts.onNews();
+            parts.onChange();
         }
     };
 
@@ -116,7 +116,7 @@
                 }
                 const revision = declaration.kind === "configuration" ? declaration.configuration.revision : undefined;
                 if (revision !== undefined) {
-                    const isNewer = revision > (state.knowledge.configuration?.revision ?? -1);
+                    const isNewer = revision > (state.declaredState.configuration?.revision ?? -1);
                     state.raw = isNewer ? value : state.raw;
                     state.isReadable = true;
                 }
@@ -143,25 +143,25 @@
         store: parts.store,
         clock,
         topic: wire.declarationsTopic,
-        askRelay: from => parts.askRelay(wire.declarationsTopic, from),
-        isHeld: parts.isHeld,
-        waitMs: () => parts.isReader() ? readerWaitMs(parts.newsEveryMs()) : 0,
+        queryRelay: from => parts.queryRelay(wire.declarationsTopic, from),
+        mustWaitForRelay: parts.mustWaitForRelay,
+        waitMs: () => parts.isReader() ? readerWaitMs(parts.beaconIntervalMs()) : 0,
         dueInMs: () => {
-            const { knowledge, askedAt } = state;
-            return declarationsDueIn({ knowledge, askedAt, isReader: parts.isReader() }, clock.now());
+            const { declaredState, requestedAt } = state;
+            return declarationsDueIn({ declaredState, requestedAt, isReader: parts.isReader() }, clock.now());
         },
-        onNews: ({ records, end, isWhole, asOf, askedAt, isRelayed }) => {
-            parts.checkPause();
+        onRead: ({ records, end, isWhole, asOf, requestedAt, isRelayed }) => {
+            parts.checkSuspension();
             state.storeAt = isRelayed ? state.storeAt : clock.now();
-            state.askedAt = askedAt;
+            state.requestedAt = requestedAt;
             state.isReadFailing = false;
-            mirror.note({ records, end, isWhole });
+            mirror.record({ records, end, isWhole });
             logStoreAvailability();
             const read = records.map(({ key, value }) => value === undefined ? undefined : declare(key, value));
             state.readRevision = Math.max(state.readRevision, ...read.map(each => each ?? -1));
-            const revision = state.knowledge.configuration?.revision;
+            const revision = state.declaredState.configuration?.revision;
             if (revision !== undefined && state.isReadable) {
-                apply({ kind: "confirmed", revision, asOf, stampedAt: askedAt });
+                apply({ kind: "confirmed", revision, asOf, stampedAt: requestedAt });
             }
         },
         onFailure: kind => {
@@ -187,7 +187,7 @@
         }
     };
 
-    const hear: Declarations["hear"] = ({ beacon, sentAfter, stampedAt }, address) => {
+    const applyBeacon: Declarations["applyBeacon"] = ({ beacon, sentAfter, stampedAt }, address) => {
         beacon.weights.forEach(([model, version]) => apply({ kind: "weights", model, version }));
         if (beacon.confirmedMs !== undefined) {
             const asOf = sentAfter - beacon.confirmedMs;
@@ -195,7 +195,7 @@
         }
         // While the store is available, its record is read instead: dozens of VMs fetching from one peer would saturate
         // its link.
-        if (state.isReadFailing && beacon.revision > (state.knowledge.configuration?.revision ?? -1)) {
+        if (state.isReadFailing && beacon.revision > (state.declaredState.configuration?.revision ?? -1)) {
             void fetchFrom(address);
         }
     };
@@ -206,8 +206,8 @@
      * read.
      */
     const answer: Declarations["answer"] = from => {
-        parts.checkPause();
-        const { configuration, confirmedAt } = state.knowledge;
+        parts.checkSuspension();
+        const { configuration, confirmedAt } = state.declaredState;
         const ageMs = clock.now() - confirmedAt;
         const isRead = configuration?.revision === state.readRevision && state.isReadable;
         const page = isRead && ageMs < MAX_ANSWER_AGE_MS ? mirror.answer(from) : undefined;
@@ -215,11 +215,11 @@
     };
     return {
         answer,
-        current: () => state.knowledge,
+        current: () => state.declaredState,
         raw: () => state.raw,
         hasStore,
-        hear,
-        pause: () => apply({ kind: "suspended" }),
+        applyBeacon,
+        onSuspended: () => apply({ kind: "suspended" }),
         stop,
     };
 }
--- /dev/null
+++ b/packages/router/src/knowledge/stepDeclaredState.ts
@@ -0,0 +1,66 @@
+import type { Millis } from "@azureshunt/core";
+
+import type { DeclarationEvent } from "./DeclarationEvent.js";
+import type { DeclaredState } from "./DeclaredState.js";
+
+/** Target versions of a model that are remembered: an engine more versions behind is long overdue. */
+const TARGET_HISTORY = 8;
+
+type EventOf<Kind extends DeclarationEvent["kind"]> = Extract<DeclarationEvent, { readonly kind: Kind; }>;
+
+const revisionOf = (declaredState: DeclaredState): number => declaredState.configuration?.revision ?? -1;
+
+/**
+ * If a delayed read or an outdated peer delivers an older configuration, a withdrawn key would work again. To prevent
+ * this, a process accepts only revisions above its own.
+ */
+const adopt = (declaredState: DeclaredState, { configuration }: EventOf<"configuration">): DeclaredState =>
+    configuration.revision > revisionOf(declaredState)
+        ? {
+            ...declaredState,
+            configuration,
+            newestRevision: Math.max(declaredState.newestRevision, configuration.revision),
+        }
+        : declaredState;
+
+/**
+ * If the process is suspended between a query and its answer, its clock stands still, so the answer looks as fresh as
+ * if no time had elapsed, and a key withdrawn in that time would continue to work. To prevent this, only answers to
+ * queries sent after the last suspension confirm anything.
+ */
+const confirm = (declaredState: DeclaredState, { revision, asOf, stampedAt }: EventOf<"confirmed">): DeclaredState => {
+    if (revision > revisionOf(declaredState)) {
+        return { ...declaredState, newestRevision: Math.max(declaredState.newestRevision, revision) };
+    }
+    // A revision below this VM's own only shows that its sender is outdated.
+    return revision === revisionOf(declaredState) && stampedAt > declaredState.suspendedAt
+        ? { ...declaredState, confirmedAt: Math.max(declaredState.confirmedAt, asOf) }
+        : declaredState;
+};
+
+const setTargetWeights = (
+    declaredState: DeclaredState,
+    { model, version }: EventOf<"weights">,
+    now: Millis,
+): DeclaredState => {
+    const before = declaredState.weights.get(model) ?? [];
+    if (version <= (before[0]?.version ?? 0)) {
+        return declaredState;
+    }
+    const history = [{ version, learntAt: now }, ...before].slice(0, TARGET_HISTORY);
+    return { ...declaredState, weights: new Map([...declaredState.weights, [model, history]]) };
+};
+
+/** Applies an event to the declared state of a VM. */
+export function stepDeclaredState(declaredState: DeclaredState, event: DeclarationEvent, now: Millis): DeclaredState {
+    switch (event.kind) {
+        case "configuration":
+            return adopt(declaredState, event);
+        case "confirmed":
+            return confirm(declaredState, event);
+        case "weights":
+            return setTargetWeights(declaredState, event, now);
+        case "suspended":
+            return { ...declaredState, confirmedAt: -Infinity, suspendedAt: now };
+    }
+}
--- a/packages/router/src/peers/Beacon.ts
+++ b/packages/router/src/peers/Beacon.ts
@@ -10,7 +10,7 @@
 } from "@azureshunt/core";
 import type { RequestFingerprint } from "@azureshunt/request";
 
-import type { ChainPart } from "../placement/ChainPart.js";
+import type { PrefixPart } from "../placement/PrefixPart.js";
 import type { BeaconScope } from "./BeaconScope.js";
 import type { DomainCount } from "./DomainCount.js";
 import type { EndpointShare } from "./EndpointShare.js";
@@ -43,7 +43,7 @@
     /** Number of VMs whose state is relayed, by failure domain, including VMs that are not listed in `vms`. */
     readonly domains: readonly DomainCount[];
     /** As `spent`, for the VMs whose state is relayed; a counter that grows as long as the sender's process runs. */
-    readonly passedSpent: readonly (readonly [OrganisationId, Tokens, Tokens])[];
+    readonly relayedSpent: readonly (readonly [OrganisationId, Tokens, Tokens])[];
     /** As `load`, for the VMs whose state is relayed; rows that are left out have not changed. */
     readonly relayedLoad: readonly (readonly [EndpointName, EndpointShare])[];
     /** As `demand`, for the VMs whose state is relayed. */
@@ -63,13 +63,13 @@
     /** Versions of the weights that engines are known to have loaded. */
     readonly engineVersions: readonly (readonly [EndpointName, number])[];
     /** Prompt parts that engines have prefilled, or the cache store has stored, since the sender's last round. */
-    readonly cached: readonly (readonly [string, readonly ChainPart[]])[];
+    readonly cached: readonly (readonly [string, readonly PrefixPart[]])[];
     /** Newest record of the order lease, and for how long the sender has known it. */
     readonly lease: { readonly offset: number; readonly holder: VmId; readonly ageMs: Millis; } | undefined;
     /** Requests that ran on an endpoint when it died, and the endpoint with its incarnation; sent for some seconds. */
     readonly deaths: readonly (readonly [RequestFingerprint, string])[];
     /** Quarantined requests, which crash endpoints, and the remaining time of their quarantine. */
-    readonly stopped: readonly (readonly [RequestFingerprint, Millis])[];
+    readonly quarantined: readonly (readonly [RequestFingerprint, Millis])[];
     /** Digest of the registry entries that the sender knows, and an upper bound for their age. */
     readonly registry: { readonly digest: string; readonly ageMs: Millis; } | undefined;
     /** Whether the sender reads the store itself. */
--- a/packages/router/src/peers/LocalState.ts
+++ b/packages/router/src/peers/LocalState.ts
@@ -15,7 +15,7 @@
     | "engineVersions"
     | "lease"
     | "deaths"
-    | "stopped"
+    | "quarantined"
     | "registry"
     | "hasStore"
 >;
--- a/packages/router/src/peers/Members.ts
+++ b/packages/router/src/peers/Members.ts
@@ -1,7 +1,7 @@
 import type { FailureDomain, Incarnation, Millis, Tokens, VmId } from "@azureshunt/core";
 
 import type { DomainCount } from "./DomainCount.js";
-import type { Heard } from "./Heard.js";
+import type { ReceivedBeacon } from "./ReceivedBeacon.js";
 
 /** A peer, as this VM knows it. */
 type Member = {
@@ -13,9 +13,9 @@
     readonly capacity: number;
     readonly hasStore: boolean;
     /** When it was last seen, by this VM or by a relay; `-Infinity` until then. */
-    readonly seenAt: Millis;
+    readonly lastSeenAt: Millis;
     /** Its last beacon to this VM; `undefined` until the first. */
-    readonly heard: Heard | undefined;
+    readonly lastReceived: ReceivedBeacon | undefined;
 };
 
 /** What a relay counts of the VMs from which this VM receives nothing directly. */
@@ -37,9 +37,9 @@
     readonly isListed: boolean;
     readonly known: ReadonlyMap<VmId, Member>;
     /** By failure domain: what its relays count of its other VMs. */
-    readonly behind: ReadonlyMap<FailureDomain, RelaySummary>;
+    readonly domainSummaries: ReadonlyMap<FailureDomain, RelaySummary>;
     /** What a relay of this VM's own failure domain counts of all VMs; `undefined` until then. */
-    readonly fleet: RelaySummary | undefined;
+    readonly fleetSummary: RelaySummary | undefined;
     /** Configured addresses that get beacons before it is known which VM each belongs to. */
     readonly seeds: readonly string[];
 };
--- a/packages/router/src/peers/Heard.ts
+++ b/packages/router/src/peers/ReceivedBeacon.ts
@@ -3,10 +3,10 @@
 import type { Beacon } from "./Beacon.js";
 
 /** The last beacon of a peer, and when it was received. */
-export type Heard = {
+export type ReceivedBeacon = {
     readonly incarnation: Incarnation;
     readonly failureDomain: FailureDomain;
-    readonly at: Millis;
+    readonly receivedAt: Millis;
     readonly beacon: Beacon;
     /**
      * Lower bound for the time at which the beacon was sent, on this VM's clock; `-Infinity` until the peer has echoed
--- a/packages/router/src/peers/beaconTargets.ts
+++ b/packages/router/src/peers/beaconTargets.ts
@@ -15,8 +15,9 @@
 const VISIT_INTERVALS = 2;
 
 const referralTargets = (members: Members, now: Millis): readonly Member[] =>
-    [...members.known.values()].filter(({ heard }) =>
-        heard?.beacon.scope === "vm" && now - heard.at < VISIT_INTERVALS * beaconInterval(members.known.size)
+    [...members.known.values()].filter(({ lastReceived }) =>
+        lastReceived?.beacon.scope === "vm" &&
+        now - lastReceived.receivedAt < VISIT_INTERVALS * beaconInterval(members.known.size)
     );
 
 /**
@@ -46,7 +47,7 @@
     const others = (isRelay ? domainsOf(members) : [members.failureDomain])
         .filter(domain => relaysOf(members, domain, now).length < peerTiming.relays)
         .flatMap(domain => silentInDomain(members, domain, turn, now));
-    return [...(isAlone && own.some(({ heard }) => heard !== undefined) ? own : []), ...others];
+    return [...(isAlone && own.some(({ lastReceived }) => lastReceived !== undefined) ? own : []), ...others];
 };
 
 /**
--- a/packages/router/src/peers/collectLocalState.ts
+++ b/packages/router/src/peers/collectLocalState.ts
@@ -1,7 +1,7 @@
 import type { LocalState } from "./LocalState.js";
-import type { NewsSources } from "./NewsSources.js";
+import type { PeerSyncSources } from "./PeerSyncSources.js";
 
-const leaseState = ({ orders, clock }: NewsSources): LocalState["lease"] => {
+const leaseState = ({ orders, clock }: PeerSyncSources): LocalState["lease"] => {
     const { tail } = orders.lease();
     return tail === undefined
         ? undefined
@@ -9,9 +9,9 @@
 };
 
 /** Collects this VM's own state for a beacon, except for the engine versions, which are sent in rotation. */
-export function collectLocalState(sources: NewsSources): Omit<LocalState, "engineVersions"> {
-    const { clock, knowledge, allowances, book, demand, quarantine, registry } = sources;
-    const { configuration, confirmedAt, weights } = knowledge.current();
+export function collectLocalState(sources: PeerSyncSources): Omit<LocalState, "engineVersions"> {
+    const { clock, declarations, allowances, endpointTable, demand, quarantine, registry } = sources;
+    const { configuration, confirmedAt, weights } = declarations.current();
     return {
         revision: configuration?.revision ?? -1,
         confirmedMs: confirmedAt === -Infinity ? undefined : clock.now() - confirmedAt,
@@ -19,11 +19,11 @@
             target === undefined ? [] : [[model, target.version] as const]
         ),
         spent: allowances.spent(),
-        load: book.ownShares(),
+        load: endpointTable.ownShares(),
         demand: demand.rate(),
         lease: leaseState(sources),
-        ...quarantine.news(),
-        registry: registry.news(),
-        hasStore: knowledge.hasStore(),
+        ...quarantine.beaconFields(),
+        registry: registry.beaconFields(),
+        hasStore: declarations.hasStore(),
     };
 }
--- a/packages/router/src/peers/collectRelayedSums.ts
+++ b/packages/router/src/peers/collectRelayedSums.ts
@@ -1,10 +1,10 @@
 import type { VmId } from "@azureshunt/core";
 
 import type { BeaconScope } from "./BeaconScope.js";
-import type { NewsSources } from "./NewsSources.js";
+import type { PeerSyncSources } from "./PeerSyncSources.js";
 import type { RelayedSums } from "./RelayedSums.js";
 
-const noSums: RelayedSums = { passedSpent: [], relayedLoad: [], relayedDemand: 0 };
+const noSums: RelayedSums = { relayedSpent: [], relayedLoad: [], relayedDemand: 0 };
 
 /**
  * Collects the sums that a relay sends.
@@ -12,16 +12,16 @@
  * @returns a function that gives the sums for one receiver, without what this receiver itself contributed
  */
 export function collectRelayedSums(
-    { allowances, membership, othersLoad }: Pick<NewsSources, "allowances" | "membership" | "othersLoad">,
+    { allowances, membership, peerLoad }: Pick<PeerSyncSources, "allowances" | "membership" | "peerLoad">,
     scope: BeaconScope,
 ): (target: VmId | undefined) => RelayedSums {
     if (scope !== "domain" && scope !== "fleet") {
         return () => noSums;
     }
-    const spent = allowances.passed(scope);
-    const load = othersLoad.relayedLoad(scope);
+    const spent = allowances.relayedSpent(scope);
+    const load = peerLoad.relayedLoad(scope);
     return target => ({
-        passedSpent: spent(target),
+        relayedSpent: spent(target),
         relayedLoad: load(target),
         relayedDemand: membership.relayedDemand(scope, target),
     });
--- a/packages/router/src/peers/createBeaconEncoder.ts
+++ b/packages/router/src/peers/createBeaconEncoder.ts
@@ -3,7 +3,7 @@
 import { packRows } from "./packRows.js";
 
 /** Fields that differ between the beacons of one batch. */
-type PerTarget = Pick<Beacon, "sequence" | "sentAt" | "echo" | "passedSpent" | "relayedLoad" | "relayedDemand">;
+type PerTarget = Pick<Beacon, "sequence" | "sentAt" | "echo" | "relayedSpent" | "relayedLoad" | "relayedDemand">;
 
 type Common = Omit<Beacon, keyof PerTarget>;
 
@@ -62,7 +62,7 @@
     ...rowsOf("ordered", common.ordered),
     ...rowsOf("engineVersions", common.engineVersions),
     ...rowsOf("deaths", common.deaths),
-    ...rowsOf("quarantined", common.stopped),
+    ...rowsOf("quarantined", common.quarantined),
     ...rowsOf(
         "vms",
         common.vms.map(each => [
@@ -76,8 +76,8 @@
     ),
     ...cachedRows(common.cached),
 ];
-const targetRows = ({ passedSpent, relayedLoad }: PerTarget): readonly Row[] => [
-    ...rowsOf("relayedSpent", passedSpent),
+const targetRows = ({ relayedSpent, relayedLoad }: PerTarget): readonly Row[] => [
+    ...rowsOf("relayedSpent", relayedSpent),
     ...rowsOf("relayedLoad", relayedLoad.map(loadRow)),
 ];
 
--- a/packages/router/src/peers/createBeaconExchange.ts
+++ b/packages/router/src/peers/createBeaconExchange.ts
@@ -57,7 +57,7 @@
 
 const loadSums =
     (load: (target: VmId | undefined) => RelayedSums["relayedLoad"]) => (target: VmId | undefined): RelayedSums => ({
-        passedSpent: [],
+        relayedSpent: [],
         relayedLoad: load(target),
         relayedDemand: 0,
     });
--- a/packages/router/src/peers/createMembership.ts
+++ b/packages/router/src/peers/createMembership.ts
@@ -1,7 +1,7 @@
 import { rendezvousOrder } from "@azureshunt/core";
 import type { Clock, FailureDomain, Millis, Tokens, VmId } from "@azureshunt/core";
 
-import type { Hearing } from "../allowance/Hearing.js";
+import type { PeerLiveness } from "../allowance/PeerLiveness.js";
 import { leaseRank } from "../fleet/leaseRank.js";
 import type { Beacon } from "./Beacon.js";
 import { beaconInterval } from "./beaconInterval.js";
@@ -9,7 +9,6 @@
 import { beaconTargets } from "./beaconTargets.js";
 import { domainSilentMs } from "./domainSilentMs.js";
 import { domainsOf } from "./domainsOf.js";
-import type { Heard } from "./Heard.js";
 import { isAlive } from "./isAlive.js";
 import { isReader } from "./isReader.js";
 import { lastSeenByDomain } from "./lastSeenByDomain.js";
@@ -19,6 +18,7 @@
 import type { Members } from "./Members.js";
 import type { MembersEvent } from "./MembersEvent.js";
 import { peerDemand } from "./peerDemand.js";
+import type { ReceivedBeacon } from "./ReceivedBeacon.js";
 import { relayedDemand } from "./relayedDemand.js";
 import { relaysOf } from "./relaysOf.js";
 import { roleOf } from "./roleOf.js";
@@ -27,7 +27,7 @@
 import type { VmRole } from "./VmRole.js";
 
 /** A beacon that was applied, and the last one of the same VM before it. */
-type AcceptedBeacon = { readonly received: Heard; readonly previous: Heard | undefined; };
+type AcceptedBeacon = { readonly received: ReceivedBeacon; readonly previous: ReceivedBeacon | undefined; };
 
 /** The peers, and what follows from the state that they sent. */
 type Membership = {
@@ -57,9 +57,9 @@
     readonly usualTargets: () => readonly BeaconTarget[];
     /** What a beacon contains about other VMs. */
     readonly memberFields: (scope: Beacon["scope"]) => Pick<Beacon, "vms" | "domains">;
-    readonly hearing: () => Hearing;
+    readonly liveness: () => PeerLiveness;
     /** Time for which a failure domain has been silent; 0 for this VM's own. */
-    readonly quietMs: (domain: FailureDomain) => Millis;
+    readonly domainSilentMs: (domain: FailureDomain) => Millis;
     /** Prompt tokens that callers send to the other VMs per millisecond. */
     readonly demand: () => Tokens;
     /** The part of `demand` that a relay sends to a target. */
@@ -69,7 +69,7 @@
     /** Whether this VM reads the declarations for its failure domain. */
     readonly isDomainReader: () => boolean;
     /** Time between two beacons to one VM. */
-    readonly newsEveryMs: () => Millis;
+    readonly beaconIntervalMs: () => Millis;
     /** Number of VMs that may claim the order lease before this one. */
     readonly rank: (lastHolder: VmId | undefined, hasStore: boolean) => number;
 };
@@ -86,8 +86,8 @@
         startedAt: clock.now(),
         isListed: false,
         known: new Map(),
-        behind: new Map(),
-        fleet: undefined,
+        domainSummaries: new Map(),
+        fleetSummary: undefined,
     };
     const state = {
         members: initial,
@@ -104,9 +104,9 @@
         state.relaysAt = state.members.known.size === before.known.size ? state.relaysAt : -Infinity;
     };
     const applyBeacon: Membership["applyBeacon"] = (beacon, address) => {
-        const previous = state.members.known.get(beacon.vm)?.heard;
+        const previous = state.members.known.get(beacon.vm)?.lastReceived;
         apply({ kind: "beacon", beacon, address });
-        const received = state.members.known.get(beacon.vm)?.heard;
+        const received = state.members.known.get(beacon.vm)?.lastReceived;
         return received?.beacon === beacon ? { received, previous } : undefined;
     };
     const lastSeenAt = (domain: FailureDomain): Millis | undefined => {
@@ -129,10 +129,10 @@
         const failureDomain = state.members.known.get(vm)?.failureDomain;
         return roleOf({ vm, failureDomain, self, relays: relays() });
     };
-    const hearing = (): Hearing => livenessOf(state.members, isRelay(), clock.now());
+    const liveness = (): PeerLiveness => livenessOf(state.members, isRelay(), clock.now());
     return {
         current: () => state.members,
-        vms: () => hearing().peers + 1,
+        vms: () => liveness().peers + 1,
         applyBeacon,
         list: vms => apply({ kind: "listed", vms }),
         tick: () => apply({ kind: "tick" }),
@@ -148,8 +148,8 @@
         targets: round => beaconTargets(state.members, round, clock.now()),
         usualTargets: () => usualTargets(state.members, clock.now()),
         memberFields: scope => memberFieldsOf(state.members, scope, clock.now()),
-        hearing,
-        quietMs: domain =>
+        liveness,
+        domainSilentMs: domain =>
             domain === self.failureDomain
                 ? 0
                 : domainSilentMs(lastSeenAt(domain), state.members.known.size, clock.now()),
@@ -157,7 +157,7 @@
         relayedDemand: (scope, target) => relayedDemand(state.members, scope, role, target, clock.now()),
         isReader: () => isReader(state.members, clock.now()),
         isDomainReader: () => isReader(state.members, clock.now(), self.failureDomain),
-        newsEveryMs: () => beaconInterval(state.members.known.size),
+        beaconIntervalMs: () => beaconInterval(state.members.known.size),
         rank: (lastHolder, hasStore) => leaseRank(state.members, lastHolder, hasStore, clock.now()),
     };
 }
--- a/packages/router/src/peers/createOthersLoad.ts
+++ b/packages/router/src/peers/createPeerLoad.ts
@@ -53,7 +53,7 @@
  * Every request needs the load of every endpoint. With dozens of VMs and endpoints, scanning all beacons would take
  * thousands of steps per request, so the sums are updated as beacons arrive.
  */
-export function createOthersLoad({ clock, failureDomain, isRelay, roleOf }: LoadParts): PeerLoad {
+export function createPeerLoad({ clock, failureDomain, isRelay, roleOf }: LoadParts): PeerLoad {
     const sums = new Map<EndpointName, EndpointShare>();
     /** By VM; the one whose load was received longest ago comes first. */
     const received = new Map<VmId, ReceivedLoad>();
@@ -97,7 +97,7 @@
     const applyBeacon: PeerLoad["applyBeacon"] = update => {
         const { vm, load, relayedLoad } = update;
         const receivedAt = clock.now();
-        if (load !== undefined && roleOf(vm) !== "stranger") {
+        if (load !== undefined && roleOf(vm) !== "indirect") {
             forget(vm);
             received.set(vm, { load, receivedAt });
             addLoad(load, 1);
@@ -120,7 +120,7 @@
     };
     const isRelayed = (scope: RelayScope, vm: VmId): boolean => {
         const role = roleOf(vm);
-        return role === "leaf" || (scope === "fleet" && role === "foreign");
+        return role === "leaf" || (scope === "fleet" && role === "remote-relay");
     };
     const totalOf = (scope: RelayScope): Rows => {
         forgetExpired();
--- a/packages/router/src/peers/createPassing.ts
+++ b/packages/router/src/peers/createRelayBuffer.ts
@@ -1,7 +1,7 @@
 import type { Clock, EndpointName, Millis, Tokens, VmId } from "@azureshunt/core";
 import { rendezvousOrder } from "@azureshunt/core";
 
-import type { ChainPart } from "../placement/ChainPart.js";
+import type { PrefixPart } from "../placement/PrefixPart.js";
 import type { Beacon } from "./Beacon.js";
 import type { RelayedRows } from "./RelayedRows.js";
 import type { VmRole } from "./VmRole.js";
@@ -16,7 +16,7 @@
     readonly vm: VmId;
     readonly relays: () => readonly VmId[];
     /** Time between two beacons to one VM. */
-    readonly newsEveryMs: () => Millis;
+    readonly beaconIntervalMs: () => Millis;
 };
 
 /** State that a relay sends on row by row. */
@@ -32,7 +32,7 @@
 
 const rowsOf = (cached: Buffered["cached"]): RelayedRows["cached"] =>
     [...cached].map(([holder, parts]) =>
-        [holder, [...parts].map(([key, tokens]): ChainPart => ({ key, tokens }))] as const
+        [holder, [...parts].map(([key, tokens]): PrefixPart => ({ key, tokens }))] as const
     );
 
 /**
@@ -40,7 +40,7 @@
  * domain. Relays that receive the same rows divide the prompt parts among themselves by holder. Parts that are lost
  * when a relay dies cost at most a second prefill.
  */
-export function createPassing({ clock, vm, relays, newsEveryMs }: RelayBufferParts): RelayBuffer {
+export function createRelayBuffer({ clock, vm, relays, beaconIntervalMs }: RelayBufferParts): RelayBuffer {
     const buffered = { domain: emptyBuffer(), fleet: emptyBuffer() };
     /**
      * Whether a holder is in this relay's share; cached while the relays stay the same, as each row of each beacon
@@ -69,7 +69,7 @@
         );
     };
     const applyBeacon: RelayBuffer["applyBeacon"] = (beacon, role) => {
-        if (role !== "leaf" && role !== "foreign") {
+        if (role !== "leaf" && role !== "remote-relay") {
             return;
         }
         record("fleet", beacon);
@@ -85,7 +85,7 @@
     const ordered: RelayBuffer["ordered"] = scope => {
         const { orders } = buffered[scope];
         [...orders]
-            .filter(([, { receivedAt }]) => clock.now() - receivedAt > 2 * newsEveryMs())
+            .filter(([, { receivedAt }]) => clock.now() - receivedAt > 2 * beaconIntervalMs())
             .forEach(([endpoint]) => orders.delete(endpoint));
         return [...orders].map(([endpoint, { version, issuedAt }]) =>
             [endpoint, version, Math.round(clock.now() - issuedAt)] as const
--- a/packages/router/src/peers/createVersionSelector.ts
+++ b/packages/router/src/peers/createVersionSelector.ts
@@ -1,6 +1,6 @@
 import type { EndpointName, Millis } from "@azureshunt/core";
 
-import type { EndpointBook } from "../placement/EndpointBook.js";
+import type { EndpointTable } from "../placement/EndpointTable.js";
 
 /** Time for which each beacon lists a new version, so that a lost beacon does no harm. */
 const RECENT_MS: Millis = 3_000;
@@ -15,13 +15,13 @@
  * each beacon. A VM that missed a change still receives it from whichever peer's rotation reaches it first.
  */
 export function createVersionSelector(
-    versions: EndpointBook["heldVersions"],
+    versions: EndpointTable["engineVersions"],
     now: () => Millis,
 ): () => readonly (readonly [EndpointName, number])[] {
     const rotation = { next: 0 };
     return () => {
         const all = versions();
-        const recent = all.filter(({ seenAt }) => now() - seenAt < RECENT_MS);
+        const recent = all.filter(({ learnedAt }) => now() - learnedAt < RECENT_MS);
         const others = all.filter(each => !recent.includes(each));
         const from = others.length === 0 ? 0 : rotation.next % others.length;
         const repeated = [...others.slice(from), ...others.slice(0, from)].slice(0, MAX_REPEATED);
--- a/packages/router/src/peers/decodeBeacon.ts
+++ b/packages/router/src/peers/decodeBeacon.ts
@@ -129,7 +129,7 @@
         ]),
         registry: isRow(registry) ? { digest: registry[0], ageMs: registry[1] } : undefined,
         deaths: row[DEATHS] ?? [],
-        stopped: row[QUARANTINED] ?? [],
+        quarantined: row[QUARANTINED] ?? [],
         upMs: row[UP_MS] ?? Infinity,
         capacity: row[CAPACITY] ?? 0,
         scope: row[SCOPE] ?? "vm",
@@ -147,7 +147,7 @@
             silent,
             ageMs,
         })),
-        passedSpent: row[RELAYED_SPENT] ?? [],
+        relayedSpent: row[RELAYED_SPENT] ?? [],
         relayedLoad: ((row[RELAYED_LOAD] ?? []) as readonly LoadRow[]).map(loadOfRow),
         relayedDemand: row[RELAYED_DEMAND] ?? 0,
     } as unknown as Beacon;
--- a/packages/router/src/peers/isReader.ts
+++ b/packages/router/src/peers/isReader.ts
@@ -1,6 +1,6 @@
 import type { FailureDomain, Millis, VmId } from "@azureshunt/core";
 
-import { livingReaders } from "./livingReaders.js";
+import { liveReaders } from "./liveReaders.js";
 import type { Members } from "./Members.js";
 import { relaysOf } from "./relaysOf.js";
 
@@ -19,5 +19,5 @@
         return memberDomain !== undefined && relaysOf(members, memberDomain, now).includes(vm);
     };
     return relays.includes(members.vm)
-        && livingReaders(members, now, domain).filter(vm => vm < members.vm).every(vm => !isRelay(vm));
+        && liveReaders(members, now, domain).filter(vm => vm < members.vm).every(vm => !isRelay(vm));
 }
--- a/packages/router/src/peers/isSilent.ts
+++ b/packages/router/src/peers/isSilent.ts
@@ -5,6 +5,6 @@
 import { peerTiming } from "./peerTiming.js";
 
 /** Returns whether a VM is silent: more beacons are missing than a few lost datagrams explain. */
-export function isSilent(members: Members, { seenAt }: { readonly seenAt: Millis; }, now: Millis): boolean {
-    return now - seenAt > peerTiming.missedBeacons * beaconInterval(members.known.size);
+export function isSilent(members: Members, { lastSeenAt }: { readonly lastSeenAt: Millis; }, now: Millis): boolean {
+    return now - lastSeenAt > peerTiming.missedBeacons * beaconInterval(members.known.size);
 }
--- a/packages/router/src/peers/lastSeenByDomain.ts
+++ b/packages/router/src/peers/lastSeenByDomain.ts
@@ -7,10 +7,12 @@
  * out.
  */
 export function lastSeenByDomain(members: Members): ReadonlyMap<FailureDomain, Millis> {
-    const { known, fleet } = members;
+    const { known, fleetSummary } = members;
     const seen = [
-        ...[...known.values()].map(({ failureDomain, seenAt }) => [failureDomain, seenAt] as const),
-        ...(fleet?.domains ?? []).map(({ failureDomain, ageMs }) => [failureDomain, (fleet?.at ?? 0) - ageMs] as const),
+        ...[...known.values()].map(({ failureDomain, lastSeenAt }) => [failureDomain, lastSeenAt] as const),
+        ...(fleetSummary?.domains ?? []).map(({ failureDomain, ageMs }) =>
+            [failureDomain, (fleetSummary?.at ?? 0) - ageMs] as const
+        ),
     ];
     const last = new Map<FailureDomain, Millis>();
     seen.forEach(([failureDomain, at]) => {
--- a/packages/router/src/peers/livingReaders.ts
+++ b/packages/router/src/peers/liveReaders.ts
@@ -8,7 +8,7 @@
  *
  * @param domain failure domain of the peers; `undefined` for all
  */
-export function livingReaders(members: Members, now: Millis, domain?: FailureDomain): readonly VmId[] {
+export function liveReaders(members: Members, now: Millis, domain?: FailureDomain): readonly VmId[] {
     return [...members.known.values()]
         .filter(member => isAlive(member, now) && member.hasStore)
         .filter(({ failureDomain }) => domain === undefined || failureDomain === domain)
--- a/packages/router/src/peers/livenessOf.ts
+++ b/packages/router/src/peers/livenessOf.ts
@@ -1,6 +1,6 @@
 import type { Millis } from "@azureshunt/core";
 
-import type { Hearing } from "../allowance/Hearing.js";
+import type { PeerLiveness } from "../allowance/PeerLiveness.js";
 import type { Spender } from "../allowance/Spender.js";
 import { beaconInterval } from "./beaconInterval.js";
 import type { DomainCount } from "./DomainCount.js";
@@ -10,7 +10,7 @@
 import { remoteRelays } from "./remoteRelays.js";
 
 type Member = NonNullable<ReturnType<Members["known"]["get"]>>;
-type RelaySummary = NonNullable<Members["fleet"]>;
+type RelaySummary = NonNullable<Members["fleetSummary"]>;
 
 /** Rounds until all VMs have received what one sends: to its relay, to a relay of another domain, to a VM there. */
 const HOPS = 3;
@@ -24,9 +24,9 @@
     silentAfterMs: Millis,
     now: Millis,
     spenderOf: (count: DomainCount) => Spender,
-): Pick<Hearing, "peers" | "unheard"> => ({
+): Pick<PeerLiveness, "peers" | "silent"> => ({
     peers: domains.reduce((sum, { vms }) => sum + vms, 0),
-    unheard: domains.flatMap(count => repeat(now - at > silentAfterMs ? count.vms : count.silent, spenderOf(count))),
+    silent: domains.flatMap(count => repeat(now - at > silentAfterMs ? count.vms : count.silent, spenderOf(count))),
 });
 
 /**
@@ -36,25 +36,26 @@
 const directOf = (members: Members, now: Millis): readonly Member[] => {
     const isSettling = now - members.startedAt < peerTiming.settleMs;
     const isCounted = ({ failureDomain }: Member): boolean =>
-        failureDomain !== undefined && failureDomain !== members.failureDomain && members.behind.has(failureDomain);
+        failureDomain !== undefined && failureDomain !== members.failureDomain &&
+        members.domainSummaries.has(failureDomain);
     const others = [...members.known.values()].filter(member =>
         !isCounted(member)
-        && (member.seenAt === -Infinity ? isSettling : now - member.seenAt < peerTiming.goneMs)
+        && (member.lastSeenAt === -Infinity ? isSettling : now - member.lastSeenAt < peerTiming.goneMs)
     );
     return [...others, ...remoteRelays(members, now).filter(isCounted)];
 };
 
 /** Returns how many peers there are, which of them are silent, and how long state takes to reach all VMs. */
-export function livenessOf(members: Members, isRelay: boolean, now: Millis): Hearing {
+export function livenessOf(members: Members, isRelay: boolean, now: Millis): PeerLiveness {
     const interval = beaconInterval(members.known.size);
     const silentAfterMs = peerTiming.missedBeacons * interval;
-    const { fleet } = members;
-    if (!isRelay && fleet !== undefined && now - fleet.at < peerTiming.goneMs) {
-        const { peers, unheard } = countedBy(fleet, silentAfterMs, now, () => "fleet");
-        return { peers: Math.max(0, peers - 1), unheard, newsMs: HOPS * interval, isPartial: false };
+    const { fleetSummary } = members;
+    if (!isRelay && fleetSummary !== undefined && now - fleetSummary.at < peerTiming.goneMs) {
+        const { peers, silent } = countedBy(fleetSummary, silentAfterMs, now, () => "fleet");
+        return { peers: Math.max(0, peers - 1), silent, propagationMs: HOPS * interval, isPartial: false };
     }
     const direct = directOf(members, now);
-    const counted = [...members.behind.values()]
+    const counted = [...members.domainSummaries.values()]
         .filter(({ at }) => now - at < peerTiming.goneMs)
         .map(summary => countedBy(summary, silentAfterMs, now, ({ failureDomain }) => `domain ${failureDomain}`));
     const countedPeers = counted.reduce((sum, { peers }) => sum + peers, 0);
@@ -63,11 +64,11 @@
     const hops = countedPeers === 0 && neighbours < peerTiming.relays ? 1 : HOPS;
     return {
         peers: direct.length + countedPeers,
-        unheard: [
+        silent: [
             ...direct.filter(member => isSilent(members, member, now)).map(({ vm }) => vm),
-            ...counted.flatMap(({ unheard }) => unheard),
+            ...counted.flatMap(({ silent }) => silent),
         ],
-        newsMs: hops * interval,
+        propagationMs: hops * interval,
         isPartial: !members.isListed,
     };
 }
--- a/packages/router/src/peers/memberFieldsOf.ts
+++ b/packages/router/src/peers/memberFieldsOf.ts
@@ -15,15 +15,15 @@
 
 /** Lists the VMs of a failure domain that are not gone. */
 const presentIn = ({ known }: Members, domain: FailureDomain, now: Millis): readonly Member[] =>
-    [...known.values()].filter(({ failureDomain, seenAt }) =>
-        failureDomain === domain && now - seenAt < peerTiming.goneMs
+    [...known.values()].filter(({ failureDomain, lastSeenAt }) =>
+        failureDomain === domain && now - lastSeenAt < peerTiming.goneMs
     );
 
 const countOf = (members: Members, domain: FailureDomain, present: readonly Member[], now: Millis): DomainCount => ({
     failureDomain: domain,
     vms: present.length,
     silent: present.filter(member => isSilent(members, member, now)).length,
-    ageMs: Math.min(peerTiming.goneMs, ...present.map(({ seenAt }) => Math.round(now - seenAt))),
+    ageMs: Math.min(peerTiming.goneMs, ...present.map(({ lastSeenAt }) => Math.round(now - lastSeenAt))),
 });
 
 /** Counts the VMs of another failure domain: its relays, and the VMs that these count. */
@@ -34,7 +34,7 @@
     now: Millis,
 ): DomainCount => {
     const own = countOf(members, domain, relays, now);
-    const summary = members.behind.get(domain);
+    const summary = members.domainSummaries.get(domain);
     const counted = summary === undefined || now - summary.at >= peerTiming.goneMs ? [] : summary.domains;
     const isCutOff = own.silent === own.vms;
     return {
@@ -51,8 +51,8 @@
         if (member === undefined || member.failureDomain === undefined || !isAlive(member, now)) {
             return [];
         }
-        const { address, failureDomain, capacity, hasStore, seenAt } = member;
-        return [{ vm, address, failureDomain, capacity, hasStore, ageMs: Math.round(now - seenAt) }];
+        const { address, failureDomain, capacity, hasStore, lastSeenAt } = member;
+        return [{ vm, address, failureDomain, capacity, hasStore, ageMs: Math.round(now - lastSeenAt) }];
     });
 
 /**
--- a/packages/router/src/peers/peerDemand.ts
+++ b/packages/router/src/peers/peerDemand.ts
@@ -9,10 +9,14 @@
 
 /** Returns the sum of the prompt tokens that callers send to the other VMs per millisecond. */
 export function peerDemand(members: Members, isRelay: boolean, now: Millis): Tokens {
-    const direct = [...members.known.values()].flatMap(({ heard }): readonly ReceivedDemand[] =>
-        heard === undefined ? [] : [{ at: heard.at, demand: heard.beacon.demand }]
+    const direct = [...members.known.values()].flatMap(({ lastReceived }): readonly ReceivedDemand[] =>
+        lastReceived === undefined ? [] : [{ at: lastReceived.receivedAt, demand: lastReceived.beacon.demand }]
     );
-    const relayed = isRelay ? [...members.behind.values()] : members.fleet === undefined ? [] : [members.fleet];
+    const relayed = isRelay
+        ? [...members.domainSummaries.values()]
+        : members.fleetSummary === undefined
+        ? []
+        : [members.fleetSummary];
     return [...direct, ...relayed]
         .filter(({ at }) => now - at < DEMAND_EXPIRY_MS)
         .reduce((sum, { demand }) => sum + demand, 0);
--- a/packages/router/src/peers/relayedDemand.ts
+++ b/packages/router/src/peers/relayedDemand.ts
@@ -12,13 +12,13 @@
     target: VmId | undefined,
     now: Millis,
 ): Tokens {
-    const roles: readonly VmRole[] = scope === "domain" ? ["leaf"] : ["leaf", "foreign"];
-    const direct = [...members.known.values()].flatMap(({ vm, heard }) =>
-        heard === undefined || vm === target || !roles.includes(roleOf(vm))
+    const roles: readonly VmRole[] = scope === "domain" ? ["leaf"] : ["leaf", "remote-relay"];
+    const direct = [...members.known.values()].flatMap(({ vm, lastReceived }) =>
+        lastReceived === undefined || vm === target || !roles.includes(roleOf(vm))
             ? []
-            : [{ at: heard.at, demand: heard.beacon.demand }]
+            : [{ at: lastReceived.receivedAt, demand: lastReceived.beacon.demand }]
     );
-    const summaries = scope === "domain" ? [] : [...members.behind.values()];
+    const summaries = scope === "domain" ? [] : [...members.domainSummaries.values()];
     return [...direct, ...summaries]
         .filter(({ at }) => now - at < peerTiming.goneMs)
         .reduce((sum, { demand }) => sum + demand, 0);
--- a/packages/router/src/peers/remoteRelays.ts
+++ b/packages/router/src/peers/remoteRelays.ts
@@ -7,9 +7,12 @@
 
 const lastReceivedByDomain = (members: Members): ReadonlyMap<FailureDomain, Millis> => {
     const last = new Map<FailureDomain, Millis>();
-    members.known.forEach(({ heard }) => {
-        if (heard !== undefined) {
-            last.set(heard.failureDomain, Math.max(heard.at, last.get(heard.failureDomain) ?? -Infinity));
+    members.known.forEach(({ lastReceived }) => {
+        if (lastReceived !== undefined) {
+            last.set(
+                lastReceived.failureDomain,
+                Math.max(lastReceived.receivedAt, last.get(lastReceived.failureDomain) ?? -Infinity),
+            );
         }
     });
     return last;
@@ -21,10 +24,10 @@
  */
 export function remoteRelays(members: Members, now: Millis): readonly Member[] {
     const last = lastReceivedByDomain(members);
-    return [...members.known.values()].filter(({ failureDomain, heard }) =>
+    return [...members.known.values()].filter(({ failureDomain, lastReceived }) =>
         failureDomain !== members.failureDomain
-        && heard?.beacon.scope === "domain"
-        && now - heard.at < peerTiming.goneMs
-        && heard.at > (last.get(heard.failureDomain) ?? -Infinity) - peerTiming.aliveMs
+        && lastReceived?.beacon.scope === "domain"
+        && now - lastReceived.receivedAt < peerTiming.goneMs
+        && lastReceived.receivedAt > (last.get(lastReceived.failureDomain) ?? -Infinity) - peerTiming.aliveMs
     );
 }
--- a/packages/router/src/peers/roleOf.ts
+++ b/packages/router/src/peers/roleOf.ts
@@ -15,7 +15,7 @@
     const isRelay = failureDomain !== undefined && (relays.get(failureDomain) ?? []).includes(vm);
     const isSelfRelay = (relays.get(self.failureDomain) ?? []).includes(self.vm);
     if (failureDomain === self.failureDomain) {
-        return isRelay ? "relay" : isSelfRelay ? "leaf" : "stranger";
+        return isRelay ? "relay" : isSelfRelay ? "leaf" : "indirect";
     }
-    return isRelay && isSelfRelay ? "foreign" : "stranger";
+    return isRelay && isSelfRelay ? "remote-relay" : "indirect";
 }
--- a/packages/router/src/peers/startBeacons.ts
+++ b/packages/router/src/peers/startBeacons.ts
@@ -19,9 +19,9 @@
  * Starts to send beacons to other VMs, and to receive theirs. Datagrams need no connection that could hang, and the
  * next beacon makes up for a lost one.
  *
- * @returns `sendNow` requests an urgent send, and `stop` stops after a final beacon
+ * @returns `sendSoon` requests an urgent send, and `stop` stops after a final beacon
  */
-export function startBeacons(parts: BeaconParts): { readonly sendNow: () => void; readonly stop: () => void; } {
+export function startBeacons(parts: BeaconParts): { readonly sendSoon: () => void; readonly stop: () => void; } {
     const socket = createSocket("udp4");
     const [host, port] = parts.address.split(":");
     const exchange = { current: undefined as ReturnType<typeof createBeaconExchange> | undefined };
@@ -50,7 +50,7 @@
         });
     });
     return {
-        sendNow: () => exchange.current?.sendSoon(),
+        sendSoon: () => exchange.current?.sendSoon(),
         stop: () => {
             exchange.current?.stop();
             setTimeout(() => socket.close(), CLOSE_AFTER_MS);
--- a/packages/router/src/peers/startPeerNews.ts
+++ b/packages/router/src/peers/startPeerSync.ts
@@ -9,28 +9,28 @@
 import { collectLocalState } from "./collectLocalState.js";
 import { collectRelayedSums } from "./collectRelayedSums.js";
 import { createVersionSelector } from "./createVersionSelector.js";
-import type { NewsSources } from "./NewsSources.js";
+import type { PeerSyncSources } from "./PeerSyncSources.js";
 import { startBeacons } from "./startBeacons.js";
 
 type PeerSyncParts = {
-    readonly sources: NewsSources;
+    readonly sources: PeerSyncSources;
     readonly settings: Pick<RouterSettings, "vm" | "failureDomain" | "capacity" | "listen">;
     readonly incarnation: Incarnation;
     readonly logger: Logger;
     readonly metrics: Metrics;
     /** Checks for a suspension of this process, before any state is sent or received as fresh. */
-    readonly checkPause: () => void;
+    readonly checkSuspension: () => void;
 };
 
 /** Starts to send the state of this VM's parts to its peers, and to apply what they send to the parts. */
-export function startPeerNews(parts: PeerSyncParts): ReturnType<typeof startBeacons> {
-    const { sources, settings, incarnation, logger, metrics, checkPause } = parts;
-    const { clock, book, chains, membership, othersLoad, passing } = sources;
+export function startPeerSync(parts: PeerSyncParts): ReturnType<typeof startBeacons> {
+    const { sources, settings, incarnation, logger, metrics, checkSuspension } = parts;
+    const { clock, endpointTable, prefixIndex, membership, peerLoad, relayBuffer } = sources;
     const { vm, failureDomain, capacity } = settings;
-    const selectVersions = createVersionSelector(book.heldVersions, clock.now);
+    const selectVersions = createVersionSelector(endpointTable.engineVersions, clock.now);
 
     const receive = (beacon: Beacon, address: string): void => {
-        checkPause();
+        checkSuspension();
         const accepted = membership.applyBeacon(beacon, address);
         if (accepted === undefined) {
             return;
@@ -49,7 +49,7 @@
             accepted.previous !== undefined && !isSameProcess,
         );
         if (isUrgent && membership.isRelay()) {
-            beacons.sendNow();
+            beacons.sendSoon();
         }
     };
     const isRelayScope = (scope: BeaconScope): scope is "domain" | "fleet" => scope === "domain" || scope === "fleet";
@@ -59,18 +59,18 @@
         self: { vm, incarnation, failureDomain, capacity },
         targets: membership.targets,
         usualTargets: membership.usualTargets,
-        intervalMs: membership.newsEveryMs,
+        intervalMs: membership.beaconIntervalMs,
         memberFields: membership.memberFields,
         localState: () => {
             // After a suspension, a VM must not confirm the state from before as current.
-            checkPause();
+            checkSuspension();
             return { ...collectLocalState(sources), engineVersions: selectVersions() };
         },
-        ordered: scope => [...book.ownOrders(), ...(isRelayScope(scope) ? passing.ordered(scope) : [])],
-        drainCached: chains.takeNews,
-        drainRelayed: passing.drainCached,
+        ordered: scope => [...endpointTable.ownOrders(), ...(isRelayScope(scope) ? relayBuffer.ordered(scope) : [])],
+        drainCached: prefixIndex.drainUpdates,
+        drainRelayed: relayBuffer.drainCached,
         relayedSums: scope => collectRelayedSums(sources, scope),
-        relayedLoadChanges: scope => isRelayScope(scope) ? othersLoad.relayedLoadChanges(scope) : () => [],
+        relayedLoadChanges: scope => isRelayScope(scope) ? peerLoad.relayedLoadChanges(scope) : () => [],
         onBeacon: receive,
         onSent: bytes => {
             metrics.count("azureshunt_beacons_total", "Beacons that were sent.");
--- a/packages/router/src/peers/stepMembers.ts
+++ b/packages/router/src/peers/stepMembers.ts
@@ -12,7 +12,7 @@
 const addListed = (members: Members, vms: readonly ListedVm[]): Members => {
     const added = vms.filter(({ vm }) => vm !== members.vm && !members.known.has(vm));
     const known = added.map(each =>
-        [each.vm, { ...each, hasStore: false, seenAt: -Infinity, heard: undefined }] as const
+        [each.vm, { ...each, hasStore: false, lastSeenAt: -Infinity, lastReceived: undefined }] as const
     );
     return { ...members, isListed: true, known: new Map([...members.known, ...known]) };
 };
@@ -35,22 +35,34 @@
 const withKnownVm = (known: Map<VmId, Member>, each: KnownVm, sentAfter: Millis): void => {
     const { vm, address, failureDomain, capacity, hasStore, ageMs } = each;
     const before = known.get(vm);
-    const seenAt = sentAfter - ageMs;
-    if (seenAt > (before?.seenAt ?? -Infinity)) {
-        known.set(vm, { vm, address, failureDomain, capacity, hasStore, seenAt, heard: before?.heard });
+    const lastSeenAt = sentAfter - ageMs;
+    if (lastSeenAt > (before?.lastSeenAt ?? -Infinity)) {
+        known.set(vm, {
+            vm,
+            address,
+            failureDomain,
+            capacity,
+            hasStore,
+            lastSeenAt,
+            lastReceived: before?.lastReceived,
+        });
     }
 };
 
 /** Applies the counts of a relay. If a beacon takes several datagrams, only one of them contains the counts. */
-const withRelaySummary = (members: Members, beacon: Beacon, at: Millis): Pick<Members, "behind" | "fleet"> => {
-    const { behind, fleet } = members;
+const withRelaySummary = (
+    members: Members,
+    beacon: Beacon,
+    at: Millis,
+): Pick<Members, "domainSummaries" | "fleetSummary"> => {
+    const { domainSummaries, fleetSummary } = members;
     const summary = { at, domains: beacon.domains, demand: beacon.relayedDemand };
     if (beacon.domains.length === 0) {
-        return { behind, fleet };
+        return { domainSummaries, fleetSummary };
     }
     return beacon.scope === "fleet"
-        ? { behind, fleet: summary }
-        : { behind: new Map(behind).set(beacon.failureDomain, summary), fleet };
+        ? { domainSummaries, fleetSummary: summary }
+        : { domainSummaries: new Map(domainSummaries).set(beacon.failureDomain, summary), fleetSummary };
 };
 
 const applyBeacon = (
@@ -59,7 +71,7 @@
     now: Millis,
 ): Members => {
     const { beacon, address } = event;
-    const previous = members.known.get(beacon.vm)?.heard;
+    const previous = members.known.get(beacon.vm)?.lastReceived;
     const isOvertaken = previous?.incarnation === beacon.incarnation
         && previous.beacon.sentAt - beacon.sentAt > peerTiming.reorderMs;
     if (beacon.vm === members.vm || isOvertaken) {
@@ -69,18 +81,18 @@
         return { ...members, known: new Map([...members.known].filter(([vm]) => vm !== beacon.vm)) };
     }
     const { vm, incarnation, failureDomain, capacity, hasStore } = beacon;
-    const heard = { incarnation, failureDomain, at: now, beacon, ...agesOf(members, beacon) };
-    const sentAfter = heard.sentAfter === -Infinity ? now : heard.sentAfter;
+    const lastReceived = { incarnation, failureDomain, receivedAt: now, beacon, ...agesOf(members, beacon) };
+    const sentAfter = lastReceived.sentAfter === -Infinity ? now : lastReceived.sentAfter;
     const known = new Map(members.known);
-    known.set(vm, { vm, address, failureDomain, capacity, hasStore, seenAt: now, heard });
+    known.set(vm, { vm, address, failureDomain, capacity, hasStore, lastSeenAt: now, lastReceived });
     beacon.vms.filter(each => each.vm !== members.vm).forEach(each => withKnownVm(known, each, sentAfter));
     return { ...members, known, ...withRelaySummary(members, beacon, sentAfter) };
 };
 
 const forgetSilent = (members: Members, now: Millis): Members => {
     const isForgotten = (at: Millis): boolean => now - at > peerTiming.forgetMs;
-    const remembered = [...members.known].filter(([, { seenAt }]) =>
-        !isForgotten(seenAt === -Infinity ? members.startedAt : seenAt)
+    const remembered = [...members.known].filter(([, { lastSeenAt }]) =>
+        !isForgotten(lastSeenAt === -Infinity ? members.startedAt : lastSeenAt)
     );
     return remembered.length === members.known.size ? members : { ...members, known: new Map(remembered) };
 };
--- a/packages/router/src/placement/EndpointBook.ts
+++ b/packages/router/src/placement/EndpointTable.ts
@@ -18,7 +18,7 @@
 };
 
 /** All that a VM knows of the endpoints. */
-export type EndpointBook = {
+export type EndpointTable = {
     /** Whether the registry has been read at all. */
     readonly isKnown: () => boolean;
     readonly size: () => number;
@@ -29,33 +29,33 @@
     readonly applyRegistryEvent: (event: RegistryEvent) => void;
     readonly candidates: (request: PlacedRequest) => readonly PlaceableEndpoint[];
     /** Starts tracking a request that is sent to the endpoint. */
-    readonly begin: (
+    readonly beginRequest: (
         endpoint: EndpointName,
         sizes: { readonly missingTokens: Tokens; readonly memoryTokens: Tokens; readonly expectedMs: Millis; },
     ) => InFlightHandle;
     /** Records that a call other than a caller's request could not reach the endpoint. */
-    readonly unreached: (endpoint: EndpointName) => void;
+    readonly recordUnreached: (endpoint: EndpointName) => void;
     /**
      * Records the version that an engine itself reported.
      *
      * @param ordersTaken orders that it has accepted since its start; undefined if it did not report them
      */
-    readonly sawWeights: (endpoint: EndpointName, version: number, ordersTaken?: number) => void;
+    readonly observeWeights: (endpoint: EndpointName, version: number, ordersTaken?: number) => void;
     /**
      * Records the version that a peer reported for an engine.
      *
      * @returns whether the version was new to this VM
      */
-    readonly heardWeights: (endpoint: EndpointName, version: number) => boolean;
+    readonly receiveWeights: (endpoint: EndpointName, version: number) => boolean;
     /**
      * Records a weights order that this VM or a peer issued, or that is still being carried out. An order older than
      * the known one is ignored.
      *
      * @returns whether the order was accepted and an order for these weights was new to this VM
      */
-    readonly ordered: (endpoint: EndpointName, order: EngineOrder) => boolean;
+    readonly recordOrder: (endpoint: EndpointName, order: EngineOrder) => boolean;
     /** Removes the order issued at that time, as it has ended or was never carried out; a newer order stays. */
-    readonly orderOver: (endpoint: EndpointName, issuedAt: Millis) => void;
+    readonly orderEnded: (endpoint: EndpointName, issuedAt: Millis) => void;
     /**
      * Calls the listener whenever this VM learns of an order for new weights to the engine.
      *
@@ -65,7 +65,7 @@
     /**
      * Whether any engine of a model holds an older version. Called several times a second, so it checks nothing else.
      */
-    readonly isAnyBehind: (model: ModelName, version: number) => boolean;
+    readonly isAnyOutdated: (model: ModelName, version: number) => boolean;
     /** Engines that serve a model and are not leaving. */
     readonly engines: (model: ModelName) => readonly EngineWeights[];
     /** The service of the endpoint at an address, `host:port`. */
@@ -76,9 +76,9 @@
     /** Orders of this VM that are being carried out: engine, version, age in milliseconds. */
     readonly ownOrders: () => readonly (readonly [EndpointName, number, Millis])[];
     /** Versions that engines are known to hold, and when this VM learned of them, from the engine or from a peer. */
-    readonly heldVersions: () => readonly {
+    readonly engineVersions: () => readonly {
         readonly endpoint: EndpointName;
         readonly version: number;
-        readonly seenAt: Millis;
+        readonly learnedAt: Millis;
     }[];
 };
--- a/packages/router/src/placement/InFlightHandle.ts
+++ b/packages/router/src/placement/InFlightHandle.ts
@@ -3,9 +3,9 @@
 /** Reports the progress of one in-flight request, from sending to end. */
 export type InFlightHandle = {
     /** Records that the answer has started. */
-    readonly answering: () => void;
+    readonly answerStarted: () => void;
     /** Records that bytes arrived from the endpoint. */
-    readonly sign: () => void;
+    readonly onActivity: () => void;
     /** Whether the endpoint was active recently, on any request of this VM. */
     readonly isAlive: () => boolean;
     /** Ends the request and updates the endpoint's health. */
--- a/packages/router/src/placement/createDemand.ts
+++ b/packages/router/src/placement/createDemand.ts
@@ -2,7 +2,7 @@
 
 /** Rate of prompt tokens that callers send to this VM. */
 type Demand = {
-    readonly note: (tokens: Tokens) => void;
+    readonly record: (tokens: Tokens) => void;
     /** Prompt tokens per millisecond over the last seconds. */
     readonly rate: () => Tokens;
 };
@@ -24,7 +24,7 @@
         return state.rate;
     };
     return {
-        note: tokens => {
+        record: tokens => {
             state.rate = decay() + tokens / windowMs;
         },
         rate: decay,
--- a/packages/router/src/placement/createEndpointBook.ts
+++ b/packages/router/src/placement/createEndpointTable.ts
@@ -2,7 +2,7 @@
 
 import type { RoutingConfiguration } from "../configuration/RoutingConfiguration.js";
 import type { EngineOrder } from "../fleet/EngineOrder.js";
-import type { Knowledge } from "../knowledge/Knowledge.js";
+import type { DeclaredState } from "../knowledge/DeclaredState.js";
 import { outdatedSince } from "../knowledge/outdatedSince.js";
 import type { EndpointShare } from "../peers/EndpointShare.js";
 import { digestOfRegistry } from "../registry/digestOfRegistry.js";
@@ -12,8 +12,8 @@
 import { stepRegistry } from "../registry/stepRegistry.js";
 import { createListeners } from "./createListeners.js";
 import { createObservations } from "./createObservations.js";
-import type { EndpointBook } from "./EndpointBook.js";
 import type { EndpointObservations } from "./EndpointObservations.js";
+import type { EndpointTable } from "./EndpointTable.js";
 import { healthAfterTry } from "./healthAfterTry.js";
 import { loadOf } from "./loadOf.js";
 import type { PromptShare } from "./PromptShare.js";
@@ -22,11 +22,11 @@
 type EndpointTableParts = {
     readonly clock: Clock;
     readonly failureDomain: FailureDomain;
-    readonly knowledge: () => Knowledge;
+    readonly declaredState: () => DeclaredState;
     /** Load of the peers at an endpoint, as they last reported it. */
-    readonly othersAt: (endpoint: EndpointName) => EndpointShare;
+    readonly peerLoadAt: (endpoint: EndpointName) => EndpointShare;
     /** How long a failure domain has been silent; 0 for this VM's own. */
-    readonly quietMs: (domain: FailureDomain) => Millis;
+    readonly domainSilentMs: (domain: FailureDomain) => Millis;
     /** Engines whose weights were replaced longer ago than this get no requests. */
     readonly outdatedLimitMs: () => Millis;
     /** Called when this VM's view of an endpoint changes. */
@@ -50,8 +50,8 @@
     cfg?.services ?? new Map();
 
 /** Creates the endpoint table from the registry's entries and this VM's own observations. */
-export function createEndpointBook(parts: EndpointTableParts): EndpointBook {
-    const { clock, knowledge } = parts;
+export function createEndpointTable(parts: EndpointTableParts): EndpointTable {
+    const { clock, declaredState } = parts;
     const state = {
         registry: emptyRegistry as Registry,
         digest: digestOfRegistry(emptyRegistry),
@@ -75,11 +75,11 @@
     const outdatedFor = (model: ModelName | undefined, version: number | undefined): Millis | undefined => {
         const since = model === undefined || version === undefined
             ? undefined
-            : outdatedSince(knowledge(), model, version);
+            : outdatedSince(declaredState(), model, version);
         return since === undefined ? undefined : clock.now() - since;
     };
 
-    const applyRegistryEvent: EndpointBook["applyRegistryEvent"] = event => {
+    const applyRegistryEvent: EndpointTable["applyRegistryEvent"] = event => {
         const before = state.registry;
         state.registry = stepRegistry(before, event, clock.now());
         if (state.registry.endpoints === before.endpoints) {
@@ -105,9 +105,9 @@
         });
     };
 
-    const candidates: EndpointBook["candidates"] = request => {
+    const candidates: EndpointTable["candidates"] = request => {
         const now = clock.now();
-        const engine = servicesOf(knowledge().configuration).get(request.service)?.engine;
+        const engine = servicesOf(declaredState().configuration).get(request.service)?.engine;
         return [...state.registry.endpoints.values()]
             .map(({ entry }) => entry)
             .filter(entry => entry.service === request.service && !entry.isLeaving && !request.avoid.has(entry.name))
@@ -127,13 +127,13 @@
                     memorySize: engine?.cacheTokens ?? 0,
                     ...(engine === undefined ? NO_PROMPT : request.promptAt(entry, weights)),
                     outdatedMs,
-                    domainSilentMs: parts.quietMs(entry.failureDomain),
-                    ...loadOf(observed.inFlight, parts.othersAt(entry.name), observed.lastActivityAt, now),
+                    domainSilentMs: parts.domainSilentMs(entry.failureDomain),
+                    ...loadOf(observed.inFlight, parts.peerLoadAt(entry.name), observed.lastActivityAt, now),
                 },
             }));
     };
 
-    const begin: EndpointBook["begin"] = (endpoint, sizes) =>
+    const beginRequest: EndpointTable["beginRequest"] = (endpoint, sizes) =>
         trackInFlight({
             clock,
             observed: observations.last(endpoint),
@@ -141,7 +141,7 @@
             onBackoff: inputs => parts.onChange(endpoint, "paused", inputs),
         });
 
-    const entryOf: EndpointBook["entryOf"] = endpoint => state.registry.endpoints.get(endpoint)?.entry;
+    const entryOf: EndpointTable["entryOf"] = endpoint => state.registry.endpoints.get(endpoint)?.entry;
 
     const recordVersion = (observed: EndpointObservations, version: number): boolean => {
         const isNewer = version > observed.knownVersion;
@@ -151,7 +151,7 @@
         }
         return isNewer;
     };
-    const sawWeights: EndpointBook["sawWeights"] = (endpoint, version, ordersTaken) => {
+    const observeWeights: EndpointTable["observeWeights"] = (endpoint, version, ordersTaken) => {
         const entry = entryOf(endpoint);
         if (entry !== undefined) {
             const observed = observations.of(entry);
@@ -159,13 +159,13 @@
             observed.acceptedOrders = ordersTaken ?? observed.acceptedOrders;
         }
     };
-    const heardWeights: EndpointBook["heardWeights"] = (endpoint, version) => {
+    const receiveWeights: EndpointTable["receiveWeights"] = (endpoint, version) => {
         const entry = entryOf(endpoint);
         // Recorded as learned now, so that a relay sends it on to its peers promptly as well.
         return entry !== undefined && recordVersion(observations.of(entry), version);
     };
 
-    const unreached: EndpointBook["unreached"] = endpoint => {
+    const recordUnreached: EndpointTable["recordUnreached"] = endpoint => {
         const observed = observations.last(endpoint);
         if (observed !== undefined) {
             observed.health = healthAfterTry(observed.health, "unreached", clock.now());
@@ -174,7 +174,7 @@
         }
     };
 
-    const ordered: EndpointBook["ordered"] = (endpoint, order) => {
+    const recordOrder: EndpointTable["recordOrder"] = (endpoint, order) => {
         const entry = entryOf(endpoint);
         if (entry === undefined) {
             return false;
@@ -183,7 +183,7 @@
         // The time of a peer's order is computed from its age, so the same order may seem a little older or newer.
         const toleranceMs = observed.order?.isOwn === true ? 0 : ORDER_AGE_TOLERANCE_MS;
         // A previous lease holder may still send its last orders; they must not replace those of the current holder.
-        if (order.givenAt < (observed.order?.givenAt ?? -Infinity) - toleranceMs) {
+        if (order.issuedAt < (observed.order?.issuedAt ?? -Infinity) - toleranceMs) {
             return false;
         }
         const isNew = order.version !== observed.order?.version && order.version > observed.knownVersion;
@@ -194,9 +194,9 @@
         return isNew;
     };
 
-    const orderOver: EndpointBook["orderOver"] = (endpoint, issuedAt) => {
+    const orderEnded: EndpointTable["orderEnded"] = (endpoint, issuedAt) => {
         const observed = observations.last(endpoint);
-        if (observed?.order?.givenAt === issuedAt) {
+        if (observed?.order?.issuedAt === issuedAt) {
             observed.order = undefined;
         }
     };
@@ -206,17 +206,17 @@
             .map(({ entry }) => entry)
             .filter(entry => entry.versions.has(model) && !entry.isLeaving);
 
-    const isAnyBehind: EndpointBook["isAnyBehind"] = (model, version) =>
+    const isAnyOutdated: EndpointTable["isAnyOutdated"] = (model, version) =>
         servingEntries(model).some(entry => (versionAt(entry, model) ?? 0) < version);
 
-    const engines: EndpointBook["engines"] = model =>
+    const engines: EndpointTable["engines"] = model =>
         servingEntries(model)
             .map(entry => {
                 const observed = observations.of(entry);
                 const version = versionAt(entry, model) ?? 0;
                 const { running } = loadOf(
                     observed.inFlight,
-                    parts.othersAt(entry.name),
+                    parts.peerLoadAt(entry.name),
                     observed.lastActivityAt,
                     clock.now(),
                 );
@@ -241,14 +241,14 @@
         registryDigest: () => state.digest,
         applyRegistryEvent,
         candidates,
-        begin,
-        unreached,
-        sawWeights,
-        heardWeights,
-        ordered,
-        orderOver,
+        beginRequest,
+        recordUnreached,
+        observeWeights,
+        receiveWeights,
+        recordOrder,
+        orderEnded,
         onOrdered: orderListeners.add,
-        isAnyBehind,
+        isAnyOutdated,
         engines,
         serviceAt: address => state.serviceByAddress.get(address),
         entryOf,
@@ -266,14 +266,14 @@
             [...state.registry.endpoints.values()].flatMap(({ entry }) => {
                 const { order, knownVersion } = observations.of(entry);
                 return order?.isOwn === true && orderAt(entry, knownVersion) !== undefined
-                    ? [[entry.name, order.version, clock.now() - order.givenAt] as const]
+                    ? [[entry.name, order.version, clock.now() - order.issuedAt] as const]
                     : [];
             }),
-        heldVersions: () =>
+        engineVersions: () =>
             observations.all().filter(([, observed]) => observed.knownVersion > 0).map(([endpoint, observed]) => ({
                 endpoint,
                 version: observed.knownVersion,
-                seenAt: observed.versionLearnedAt,
+                learnedAt: observed.versionLearnedAt,
             })),
     };
 }
--- a/packages/router/src/placement/createChainMemory.ts
+++ b/packages/router/src/placement/createPrefixIndex.ts
@@ -1,7 +1,7 @@
 import type { EndpointName, Millis, Tokens } from "@azureshunt/core";
 
-import type { ChainPart } from "./ChainPart.js";
 import type { HolderLimits } from "./HolderLimits.js";
+import type { PrefixPart } from "./PrefixPart.js";
 
 /** A holder of cached prompt parts: an engine by name, or the cache store by its address. */
 type PrefixHolder = EndpointName | string;
@@ -12,13 +12,13 @@
 /** Records which prompt prefixes engines and the cache store have cached recently. */
 type PrefixIndex = {
     /** All holders of a prefix of the prompt. */
-    readonly holders: (chain: readonly ChainPart[], now: Millis) => readonly HeldPrefix[];
+    readonly holders: (chain: readonly PrefixPart[], now: Millis) => readonly HeldPrefix[];
     /** Records that the holder has prefilled or stored these parts, and queues an update for the peers. */
-    readonly note: (holder: PrefixHolder, chain: readonly ChainPart[], now: Millis) => void;
+    readonly record: (holder: PrefixHolder, chain: readonly PrefixPart[], now: Millis) => void;
     /** Records parts that a peer reported. */
-    readonly hear: (holder: PrefixHolder, parts: readonly ChainPart[], now: Millis) => void;
+    readonly receiveParts: (holder: PrefixHolder, parts: readonly PrefixPart[], now: Millis) => void;
     /** Returns and clears what this VM has recorded since the last call, to be sent to the peers. */
-    readonly takeNews: () => readonly (readonly [PrefixHolder, readonly ChainPart[]])[];
+    readonly drainUpdates: () => readonly (readonly [PrefixHolder, readonly PrefixPart[]])[];
     /** Removes all parts of a holder. */
     readonly forget: (holder: PrefixHolder) => void;
 };
@@ -37,7 +37,7 @@
 };
 
 /** Moves a part to the end, as the most recently used one. */
-const touch = (index: HolderIndex, { key, tokens }: ChainPart, now: Millis): void => {
+const touch = (index: HolderIndex, { key, tokens }: PrefixPart, now: Millis): void => {
     drop(index, key);
     index.parts.set(key, { tokens, usedAt: now });
     index.total += tokens;
@@ -66,32 +66,32 @@
  *
  * @param limitsOf returns what a holder can keep
  */
-export function createChainMemory(limitsOf: (holder: PrefixHolder) => HolderLimits): PrefixIndex {
+export function createPrefixIndex(limitsOf: (holder: PrefixHolder) => HolderLimits): PrefixIndex {
     const all = new Map<PrefixHolder, HolderIndex>();
     const updates = { current: new Map<PrefixHolder, Map<string, Tokens>>() };
 
     const holders: PrefixIndex["holders"] = (chain, now) =>
         [...all].flatMap(([holder, { parts }]) => {
-            const since = now - limitsOf(holder).keptMs;
+            const since = now - limitsOf(holder).expiryMs;
             const missing = chain.findIndex(({ key }) => (parts.get(key)?.usedAt ?? -Infinity) < since);
             const cached = missing < 0 ? chain : chain.slice(0, missing);
             return cached.length === 0 ? [] : [{ holder, tokens: cached.reduce((sum, { tokens }) => sum + tokens, 0) }];
         });
-    const hear: PrefixIndex["hear"] = (holder, parts, now) => {
+    const receiveParts: PrefixIndex["receiveParts"] = (holder, parts, now) => {
         const index = all.get(holder) ?? { parts: new Map(), total: 0 };
         all.set(holder, index);
         // A part is useless without those before it, so the last part of a prompt is evicted first.
         parts.toReversed().forEach(part => touch(index, part, now));
         shrink(index, limitsOf(holder).size);
     };
-    const note: PrefixIndex["note"] = (holder, chain, now) => {
-        hear(holder, chain, now);
+    const record: PrefixIndex["record"] = (holder, chain, now) => {
+        receiveParts(holder, chain, now);
         const pending = updates.current.get(holder) ?? new Map<string, Tokens>();
         // The last part belongs to this request alone. It is sent too, as it takes up room in the cache.
         chain.forEach(({ key, tokens }) => pending.set(key, tokens));
         updates.current.set(holder, pending);
     };
-    const takeNews: PrefixIndex["takeNews"] = () => {
+    const drainUpdates: PrefixIndex["drainUpdates"] = () => {
         const drained = [...updates.current].map(([holder, pending]) =>
             [holder, [...pending].map(([key, tokens]) => ({ key, tokens }))] as const
         );
@@ -101,5 +101,5 @@
     const forget: PrefixIndex["forget"] = holder => {
         all.delete(holder);
     };
-    return { holders, note, hear, takeNews, forget };
+    return { holders, record, receiveParts, drainUpdates, forget };
 }
--- a/packages/router/src/placement/limitsOfHolder.ts
+++ b/packages/router/src/placement/limitsOfHolder.ts
@@ -21,7 +21,7 @@
     const services = [...cfg?.services.values() ?? []];
     if (engine === undefined) {
         const store = services.find(({ cacheStore }) => cacheStore !== undefined)?.cacheStore;
-        return { keptMs: STORE_EXPIRY_MS, size: store?.cacheTokens ?? Infinity };
+        return { expiryMs: STORE_EXPIRY_MS, size: store?.cacheTokens ?? Infinity };
     }
-    return { keptMs: ENGINE_EXPIRY_MS, size: cfg?.services.get(engine.service)?.engine?.cacheTokens ?? Infinity };
+    return { expiryMs: ENGINE_EXPIRY_MS, size: cfg?.services.get(engine.service)?.engine?.cacheTokens ?? Infinity };
 }
--- a/packages/router/src/placement/overloadWait.ts
+++ b/packages/router/src/placement/overloadDelayMs.ts
@@ -26,7 +26,7 @@
  *
  * @returns undefined if there is room; otherwise the overload delay in milliseconds, if the load stays the same
  */
-export function overloadWait({ queueMs, startMs, objectiveMs, isUrgent }: OverloadInputs): Millis | undefined {
+export function overloadDelayMs({ queueMs, startMs, objectiveMs, isUrgent }: OverloadInputs): Millis | undefined {
     const ownMs = startMs - queueMs;
     const inTimeMs = objectiveMs * (isUrgent ? URGENT_FRACTION : OTHER_FRACTION) - ownMs;
     const limitMs = Math.max(inTimeMs, objectiveMs * MIN_QUEUE_FRACTION);
--- a/packages/router/src/placement/trackInFlight.ts
+++ b/packages/router/src/placement/trackInFlight.ts
@@ -33,8 +33,8 @@
     };
     replace(request.current);
     return {
-        answering: () => replace({ ...request.current, isAnswering: true }),
-        sign: () => {
+        answerStarted: () => replace({ ...request.current, isAnswering: true }),
+        onActivity: () => {
             if (observed !== undefined) {
                 observed.lastActivityAt = clock.now();
             }
--- a/packages/router/src/ports/CallerWire.ts
+++ b/packages/router/src/ports/CallerWire.ts
@@ -14,5 +14,5 @@
         readonly body: string;
     };
     /** Selects the headers of an endpoint's answer that go to the caller. Names and values alternate. */
-    readonly passAnswerHeaders: (rawHeaders: readonly string[]) => readonly string[];
+    readonly forwardAnswerHeaders: (rawHeaders: readonly string[]) => readonly string[];
 };
--- a/packages/router/src/quarantine/createQuarantine.ts
+++ b/packages/router/src/quarantine/createQuarantine.ts
@@ -21,15 +21,15 @@
 
 /** Keeps requests that crash endpoints from being run repeatedly. */
 type Quarantine = {
-    readonly isStopped: (served: ServedRequest) => boolean;
+    readonly isQuarantined: (served: ServedRequest) => boolean;
     /**
      * Reports that a try broke off, and checks whether its endpoint died. Resolves at once, unless an earlier try of
      * the request broke off or the request was running at an earlier death: then it may be the cause, and all results
      * are awaited.
      */
-    readonly broke: (served: ServedRequest, endpoint: EndpointEntry) => Promise<void>;
-    readonly hear: (beacon: Beacon) => void;
-    readonly news: () => Pick<Beacon, "deaths" | "stopped">;
+    readonly reportBrokenTry: (served: ServedRequest, endpoint: EndpointEntry) => Promise<void>;
+    readonly applyBeacon: (beacon: Beacon) => void;
+    readonly beaconFields: () => Pick<Beacon, "deaths" | "quarantined">;
     readonly tick: () => void;
 };
 
@@ -87,7 +87,7 @@
         logger.info({ endpoint: endpoint.name, fingerprint: request }, "An endpoint died while it ran a request.");
     };
 
-    const broke: Quarantine["broke"] = async (served, endpoint) => {
+    const reportBrokenTry: Quarantine["reportBrokenTry"] = async (served, endpoint) => {
         const request = fingerprintRequest(served);
         const earlier = pendingResults.get(request);
         const isSuspect = state.history.deaths.has(request) || earlier !== undefined;
@@ -96,29 +96,29 @@
         void result.finally(() => pendingResults.get(request) === result && pendingResults.delete(request));
         await (isSuspect ? result : undefined);
     };
-    const hear: Quarantine["hear"] = beacon => {
+    const applyBeacon: Quarantine["applyBeacon"] = beacon => {
         beacon.deaths.forEach(([request, death]) => {
             if (state.history.deaths.get(request)?.has(death) !== true) {
                 recordDeath(request, death);
             }
         });
-        beacon.stopped.forEach(([request, forMs]) => {
+        beacon.quarantined.forEach(([request, forMs]) => {
             if (!state.history.quarantined.has(request)) {
                 apply({ kind: "quarantined", request, forMs });
             }
         });
     };
     return {
-        isStopped: served =>
+        isQuarantined: served =>
             state.history.quarantined.size > 0
             && (state.history.quarantined.get(fingerprintRequest(served)) ?? -Infinity) > clock.now(),
-        broke,
-        hear,
-        news: () => ({
+        reportBrokenTry,
+        applyBeacon,
+        beaconFields: () => ({
             deaths: state.sentDeaths
                 .filter(({ at }) => clock.now() - at < SEND_FOR_MS)
                 .map(({ request, death }) => [request, death] as const),
-            stopped: [...state.history.quarantined].slice(-MAX_SENT_ROWS).map(([request, until]) =>
+            quarantined: [...state.history.quarantined].slice(-MAX_SENT_ROWS).map(([request, until]) =>
                 [request, until - clock.now()] as const
             ),
         }),
