--- a/packages/router/src/registry/startRegistry.ts
+++ b/packages/router/src/registry/startRegistry.ts
@@ -3,8 +3,8 @@
 import type { Logger } from "pino";
 
 import type { Beacon } from "../peers/Beacon.js";
-import type { Heard } from "../peers/Heard.js";
-import type { EndpointBook } from "../placement/EndpointBook.js";
+import type { ReceivedBeacon } from "../peers/ReceivedBeacon.js";
+import type { EndpointTable } from "../placement/EndpointTable.js";
 import type { DirectoryWire } from "../ports/DirectoryWire.js";
 import type { StorePort } from "../ports/StorePort.js";
 import { createTopicMirror } from "../store/createTopicMirror.js";
@@ -20,7 +20,7 @@
     readonly clock: Clock;
     readonly store: StorePort;
     readonly wire: DirectoryWire;
-    readonly book: EndpointBook;
+    readonly endpointTable: EndpointTable;
     readonly logger: Logger;
     readonly metrics: Metrics;
     /** How long a leaving endpoint still takes requests. */
@@ -28,24 +28,24 @@
     /** Whether this VM reads the registry for the others. */
     readonly isReader: () => boolean;
     /** Reads a topic from a relay; see `followTopic`. */
-    readonly askRelay: (topic: string, from: number | undefined) => Promise<TopicAnswer | undefined>;
+    readonly queryRelay: (topic: string, from: number | undefined) => Promise<TopicAnswer | undefined>;
     /** Whether the first read still has to wait, as a relay may become available that answers it. */
-    readonly isHeld: () => boolean;
+    readonly mustWaitForRelay: () => boolean;
     /** Checks for a suspension of the process, before an answer is accepted as fresh or sent. */
-    readonly checkPause: () => void;
+    readonly checkSuspension: () => void;
     /** Called when this VM has read the registry from the store itself. */
-    readonly onRead: () => void;
+    readonly onStoreRead: () => void;
 };
 
 type RegistryKeeper = {
     /** Digest and maximum age of the known entries, to be sent to the peers; undefined until one is known. */
-    readonly news: () => Beacon["registry"];
+    readonly beaconFields: () => Beacon["registry"];
     /** Compares a peer's digest with this VM's own entries. */
-    readonly hear: (received: Heard) => void;
+    readonly applyBeacon: (received: ReceivedBeacon) => void;
     /** Returns the records that a relay sends to a peer on request; undefined if its view is not fresh. */
     readonly answer: (from: number | undefined) => TopicAnswer | undefined;
     /** Discards the freshness of the view, as the process was suspended. */
-    readonly pause: () => void;
+    readonly onSuspended: () => void;
     readonly stop: () => void;
 };
 
@@ -55,7 +55,7 @@
 
 /** Follows the endpoints' entries in the store and applies them to the endpoint table. */
 export function startRegistry(parts: RegistryParts): RegistryKeeper {
-    const { clock, wire, book, logger, metrics } = parts;
+    const { clock, wire, endpointTable, logger, metrics } = parts;
     const state = { freshness: initialRegistryFreshness };
     const apply = (event: RegistryFreshnessEvent): void => {
         state.freshness = stepRegistryFreshness(state.freshness, event);
@@ -82,25 +82,25 @@
         clock: parts.clock,
         topic: wire.registryTopic,
         waitMs: () => 0,
-        askRelay: from => parts.askRelay(wire.registryTopic, from),
-        isHeld: parts.isHeld,
+        queryRelay: from => parts.queryRelay(wire.registryTopic, from),
+        mustWaitForRelay: parts.mustWaitForRelay,
         dueInMs: () =>
             registryDueIn(
                 { freshness: state.freshness, isReader: parts.isReader(), leavingMs: parts.leavingMs() },
                 clock.now(),
             ),
-        onNews: ({ records, end, isWhole, asOf, askedAt: requestedAt, isRelayed }) => {
-            parts.checkPause();
-            mirror.note({ records, end, isWhole });
+        onRead: ({ records, end, isWhole, asOf, requestedAt, isRelayed }) => {
+            parts.checkSuspension();
+            mirror.record({ records, end, isWhole });
             const changes = records.map(({ key, value }) => ({ name: key as EndpointName, entry: decode(key, value) }));
-            book.applyRegistryEvent(
+            endpointTable.applyRegistryEvent(
                 isWhole
                     ? { kind: "whole", entries: changes.flatMap(({ entry }) => entry === undefined ? [] : [entry]) }
                     : { kind: "changes", changes },
             );
             apply({ kind: "read", requestedAt, asOf });
             if (!isRelayed) {
-                parts.onRead();
+                parts.onStoreRead();
             }
         },
         onFailure: kind => {
@@ -110,32 +110,32 @@
             });
         },
     });
-    const timer = setInterval(() => book.applyRegistryEvent({ kind: "tick" }), TICK_MS);
+    const timer = setInterval(() => endpointTable.applyRegistryEvent({ kind: "tick" }), TICK_MS);
     return {
-        news: () =>
+        beaconFields: () =>
             state.freshness.asOf === -Infinity
                 ? undefined
-                : { digest: book.registryDigest(), ageMs: clock.now() - state.freshness.asOf },
-        hear: ({ beacon, sentAfter, stampedAt }) => {
+                : { digest: endpointTable.registryDigest(), ageMs: clock.now() - state.freshness.asOf },
+        applyBeacon: ({ beacon, sentAfter, stampedAt }) => {
             if (beacon.registry === undefined) {
                 return;
             }
             const asOf = sentAfter - beacon.registry.ageMs;
-            const isSame = beacon.registry.digest === book.registryDigest();
+            const isSame = beacon.registry.digest === endpointTable.registryDigest();
             const before = state.freshness;
             apply({ kind: "received", isSame, asOf, stampedAt });
             if (isSame && state.freshness !== before) {
-                book.applyRegistryEvent({ kind: "vouched", asOf });
+                endpointTable.applyRegistryEvent({ kind: "vouched", asOf });
             }
         },
         answer: from => {
-            parts.checkPause();
+            parts.checkSuspension();
             const ageMs = clock.now() - state.freshness.asOf;
             const isFresh = !state.freshness.isContradicted && ageMs < MAX_ANSWER_AGE_FRACTION * parts.leavingMs();
             const page = isFresh ? mirror.answer(from) : undefined;
             return page === undefined ? undefined : { ...page, ageMs };
         },
-        pause: () => apply({ kind: "suspended", now: clock.now() }),
+        onSuspended: () => apply({ kind: "suspended", now: clock.now() }),
         stop: () => {
             stopFollowing();
             clearInterval(timer);
--- a/packages/router/src/serve/TryPlace.ts
+++ b/packages/router/src/serve/TryPlace.ts
@@ -1,6 +1,6 @@
 import type { Millis, Tokens } from "@azureshunt/core";
 
-import type { ChainPart } from "../placement/ChainPart.js";
+import type { PrefixPart } from "../placement/PrefixPart.js";
 import type { EndpointEntry } from "../registry/EndpointEntry.js";
 
 /** The endpoint chosen for a try, with the data behind the choice. */
@@ -17,7 +17,7 @@
     readonly missingTokens: Tokens;
     readonly memoryTokens: Tokens;
     readonly salt: string | undefined;
-    readonly chain: readonly ChainPart[];
+    readonly chain: readonly PrefixPart[];
     /** `host:port` from which the endpoint fetches parts of the prompt. */
     readonly source: string | undefined;
     /** Length of the prompt prefix that the cache store is known to hold. */
--- a/packages/router/src/serve/admitRequest.ts
+++ b/packages/router/src/serve/admitRequest.ts
@@ -7,7 +7,7 @@
 import type { Organisation } from "../configuration/Organisation.js";
 import type { Route } from "../configuration/Route.js";
 import type { RoutingConfiguration } from "../configuration/RoutingConfiguration.js";
-import type { Knowledge } from "../knowledge/Knowledge.js";
+import type { DeclaredState } from "../knowledge/DeclaredState.js";
 import type { CallerRequest } from "../ports/CallerRequest.js";
 import type { FreshnessBounds } from "./FreshnessBounds.js";
 
@@ -15,7 +15,7 @@
 type Admission = { readonly route: Route; readonly organisation: Organisation | undefined; };
 
 type AdmissionQuery = {
-    readonly declaredState: Knowledge;
+    readonly declaredState: DeclaredState;
     readonly request: Pick<CallerRequest, "host" | "target" | "key">;
     readonly arrivedAt: Millis;
     readonly bounds: FreshnessBounds;
@@ -28,8 +28,8 @@
  */
 const denialOf = (query: AdmissionQuery, kind: "not-found" | "missing-key" | "unknown-key"): Refusal => {
     const { declaredState, arrivedAt, bounds } = query;
-    const isOutdated = declaredState.heardRevision > (declaredState.configuration?.revision ?? -1);
-    const isFresh = arrivedAt - declaredState.confirmedAt <= bounds.denialMs;
+    const isOutdated = declaredState.newestRevision > (declaredState.configuration?.revision ?? -1);
+    const isFresh = arrivedAt - declaredState.confirmedAt <= bounds.maxAgeForDenialMs;
     return refusalOf(isFresh && !isOutdated ? kind : "configuration-too-old");
 };
 
@@ -41,7 +41,7 @@
  */
 const authenticate = (query: AdmissionQuery, cfg: RoutingConfiguration): Either<Refusal, Organisation | undefined> => {
     const { declaredState, request, arrivedAt, bounds } = query;
-    if (arrivedAt - declaredState.confirmedAt > bounds.keysMs) {
+    if (arrivedAt - declaredState.confirmedAt > bounds.maxAgeForKeysMs) {
         return Left(refusalOf("configuration-too-old"));
     }
     const id = request.key === undefined ? undefined : cfg.ownerOfKey.get(request.key);
--- a/packages/router/src/serve/createPromptShares.ts
+++ b/packages/router/src/serve/createPromptShares.ts
@@ -1,6 +1,6 @@
 import type { EndpointName, FailureDomain, Tokens } from "@azureshunt/core";
 
-import type { ChainPart } from "../placement/ChainPart.js";
+import type { PrefixPart } from "../placement/PrefixPart.js";
 import type { PromptShare } from "../placement/PromptShare.js";
 import { reachableStore } from "./reachableStore.js";
 import type { ServeParts } from "./ServeParts.js";
@@ -41,16 +41,16 @@
  * millisecond.
  */
 export function createPromptShares(
-    parts: Pick<ServeParts, "knowledge" | "isQuiet" | "chains" | "clock" | "book">,
+    parts: Pick<ServeParts, "declaredState" | "isDomainSilent" | "prefixIndex" | "clock" | "endpointTable">,
     promptTokens: Tokens,
-    chain: readonly ChainPart[],
+    chain: readonly PrefixPart[],
 ): PromptShares {
     const store = reachableStore(parts);
-    const holders = parts.chains.holders(chain, parts.clock.now());
+    const holders = parts.prefixIndex.holders(chain, parts.clock.now());
     const heldTokens = new Map(holders.map(({ holder, tokens }) => [holder as string, tokens]));
     const engineSources = holders.flatMap(({ holder, tokens }): readonly Source[] => {
-        const entry = parts.book.entryOf(holder as EndpointName);
-        return entry === undefined || parts.isQuiet(entry.failureDomain)
+        const entry = parts.endpointTable.entryOf(holder as EndpointName);
+        return entry === undefined || parts.isDomainSilent(entry.failureDomain)
             ? []
             : [{ name: entry.name, address: entry.address, failureDomain: entry.failureDomain, tokens }];
     });
--- a/packages/router/src/serve/createRequestHandler.ts
+++ b/packages/router/src/serve/createRequestHandler.ts
@@ -41,7 +41,7 @@
     if (organisation?.countsRequests === true) {
         return 1;
     }
-    return prompt === undefined ? organisation?.plainTokens ?? 0 : prompt.promptTokens + prompt.outputTokens;
+    return prompt === undefined ? organisation?.defaultTokens ?? 0 : prompt.promptTokens + prompt.outputTokens;
 };
 
 /** Returns the size of a request's head on the wire, computed from its first line and headers. */
@@ -50,7 +50,7 @@
 
 /** Creates the handler of callers' requests. */
 export function createRequestHandler(parts: ServeParts): (req: IncomingMessage, res: ServerResponse) => Promise<void> {
-    const { clock, knowledge: declaredState, allowances, callerWire, metrics, logger } = parts;
+    const { clock, declaredState, allowances, callerWire, metrics, logger } = parts;
 
     const refuse = (res: ServerResponse, refusal: Refusal, id: string | undefined, isClosing: boolean): void => {
         metrics.count("azureshunt_refusals_total", "Requests that were refused, by reason.", { reason: refusal.kind });
@@ -143,7 +143,7 @@
         });
         return admission.map(admitted => {
             const { route, organisation, service, tokens, notes } = admitted;
-            parts.budgets.earn(service);
+            parts.retryBudgets.earn(service);
             notes.add("Admitted.", {
                 route: route.name,
                 kind: route.kind,
@@ -176,7 +176,7 @@
         }
         const waitsUntil = arrivedAt +
             Math.min(MAX_ALLOWANCE_WAIT_MS, (deadline - arrivedAt) * ALLOWANCE_WAIT_FRACTION);
-        const charged = await parts.charges.charge({ organisation, tokens, waitsUntil, signal });
+        const charged = await parts.allowanceQueue.charge({ organisation, tokens, waitsUntil, signal });
         charged.ifLeft(refusal => {
             notes.flush();
             refuse(res, refusal, caller.id, false);
@@ -185,7 +185,7 @@
     };
 
     const serve = async (req: IncomingMessage, res: ServerResponse): Promise<void> => {
-        parts.checkPause();
+        parts.checkSuspension();
         const request = await readRequest(req, res);
         const admitted = request === undefined ? undefined : admit(request, res);
         if (request === undefined || admitted === undefined) {
@@ -200,7 +200,7 @@
             cancellation.release();
             return;
         }
-        parts.demand.note(caller.prompt?.promptTokens ?? 0);
+        parts.demand.record(caller.prompt?.promptTokens ?? 0);
         await finish({ ...request, ...admitted, res, deadline, signal: cancellation.signal }, cancellation, tokens);
     };
 
--- a/packages/router/src/serve/forwardAnswer.ts
+++ b/packages/router/src/serve/forwardAnswer.ts
@@ -14,7 +14,7 @@
 
 const sendHead = ({ parts, served }: TryParts, { res }: Extract<OpenedCall, { readonly kind: "head"; }>): void => {
     if (!served.res.headersSent) {
-        const headers = parts.callerWire.passAnswerHeaders(res.rawHeaders);
+        const headers = parts.callerWire.forwardAnswerHeaders(res.rawHeaders);
         served.res.writeHead(res.statusCode ?? SUCCESS, [...headers, ...closingHeaders(parts)]);
     }
 };
@@ -47,7 +47,7 @@
     if (body === undefined) {
         return { kind: served.signal.aborted ? "cancelled" : "broken", answer: undefined };
     }
-    const headers = parts.callerWire.passAnswerHeaders(opened.res.rawHeaders);
+    const headers = parts.callerWire.forwardAnswerHeaders(opened.res.rawHeaders);
     const status = opened.res.statusCode ?? SUCCESS;
     return { kind: isServerError(status) ? "failed" : "answered", answer: { status, headers, body } };
 }
--- a/packages/router/src/serve/forwardStream.ts
+++ b/packages/router/src/serve/forwardStream.ts
@@ -1,5 +1,5 @@
 import { createEventSplitter } from "../dispatch/createEventSplitter.js";
-import { endsWhole } from "../dispatch/endsWhole.js";
+import { isComplete } from "../dispatch/isComplete.js";
 import type { OpenedCall } from "../dispatch/OpenedCall.js";
 import type { TryOutcome } from "../dispatch/TryOutcome.js";
 import type { ServedRequest } from "./ServedRequest.js";
@@ -84,8 +84,8 @@
         res.on("error", () => settle(served.signal.aborted ? "cancelled" : "broken"));
         res.on("close", () => settle(served.signal.aborted ? "cancelled" : "broken"));
         res.on("end", () => {
-            const isComplete = endsWhole(opened) && splitter.rest() === 0;
-            settle(isComplete ? "answered" : "broken");
+            const isAnswerComplete = isComplete(opened) && splitter.bufferedBytes() === 0;
+            settle(isAnswerComplete ? "answered" : "broken");
         });
     });
 }
--- a/packages/router/src/serve/placeRequest.ts
+++ b/packages/router/src/serve/placeRequest.ts
@@ -1,8 +1,8 @@
 import type { EndpointName } from "@azureshunt/core";
 
 import { chainOf } from "../placement/chainOf.js";
-import type { ChainPart } from "../placement/ChainPart.js";
 import { choosePlace } from "../placement/choosePlace.js";
+import type { PrefixPart } from "../placement/PrefixPart.js";
 import { sampleCandidates } from "../placement/sampleCandidates.js";
 import { createPromptShares } from "./createPromptShares.js";
 import { saltOf } from "./saltOf.js";
@@ -13,7 +13,7 @@
 /** A prompt as it is cached under one version of the weights. */
 type VersionedPrompt = {
     readonly salt: string | undefined;
-    readonly chain: readonly ChainPart[];
+    readonly chain: readonly PrefixPart[];
     readonly shares: ReturnType<typeof createPromptShares>;
 };
 
@@ -37,13 +37,13 @@
         promptByWeights.set(weights, versioned);
         return versioned;
     };
-    const placeable = parts.book.candidates({
+    const placeable = parts.endpointTable.candidates({
         service: served.service,
         model: prompt?.model,
         promptAt: (entry, weights) => promptUnder(weights).shares.shareOf(entry.name, entry.failureDomain),
         avoid,
     });
-    const sampled = sampleCandidates(placeable.map(({ candidate }) => candidate), parts.choosers(), parts.random);
+    const sampled = sampleCandidates(placeable.map(({ candidate }) => candidate), parts.placingVms(), parts.random);
     const place = choosePlace(sampled, parts.clock.now(), parts.random);
     const chosen = placeable.find(({ candidate }) => candidate === place?.candidate);
     if (place === undefined || chosen === undefined) {
--- a/packages/router/src/serve/runTry.ts
+++ b/packages/router/src/serve/runTry.ts
@@ -62,28 +62,28 @@
     const { prompt } = served.caller;
     const others = prompt === undefined
         ? []
-        : parts.book.engines(prompt.model).filter(({ endpoint, isUp, order }) =>
+        : parts.endpointTable.engines(prompt.model).filter(({ endpoint, isUp, order }) =>
             endpoint !== place.entry.name && isUp && order === undefined
         );
     const isMoving = shouldMove({
         promptTokens: prompt?.promptTokens ?? 0,
         outputTokens: prompt?.outputTokens ?? 0,
         forwardedEvents: progress.forwardedEvents,
-        budget: parts.budgets.of(served.service).balance,
+        budget: parts.retryBudgets.of(served.service).balance,
         otherEngines: others.length,
     });
-    return isMoving && parts.budgets.reserve(served.service);
+    return isMoving && parts.retryBudgets.reserve(served.service);
 };
 
 /** Sends a request to one endpoint and, if it is a stream, forwards its events to the caller. */
 export async function runTry(tryParts: TryParts): Promise<TryResult> {
     const { parts, served, place, progress, isLastTry } = tryParts;
-    const { clock, book: endpointTable, chains: prefixIndex } = parts;
+    const { clock, endpointTable, prefixIndex } = parts;
     const startedAt = clock.now();
     const remainingMs = served.deadline - startedAt;
     const { kind, objectiveMs } = served.route;
     const saveTo = storeToSaveTo(tryParts);
-    const inFlight = endpointTable.begin(place.entry.name, {
+    const inFlight = endpointTable.beginRequest(place.entry.name, {
         missingTokens: place.missingTokens,
         memoryTokens: place.memoryTokens,
         expectedMs: Math.max(MIN_EXPECTED_MS, place.startMs + objectiveMs),
@@ -120,7 +120,7 @@
         target: served.caller.target,
         headers: headersFor(tryParts, remainingMs, saveTo),
         body: served.body,
-        keptIdleMs: isRepeatable(kind) ? MAX_IDLE_MS : NOT_REPEATABLE_MAX_IDLE_MS,
+        maxIdleMs: isRepeatable(kind) ? MAX_IDLE_MS : NOT_REPEATABLE_MAX_IDLE_MS,
         headMs: headTimeout(kind, objectiveMs, place.startMs, remainingMs, isLastTry),
         // A busy engine has the request in its queue; sending it to another one would only make both busier.
         isAlive: served.caller.prompt === undefined ? undefined : inFlight.isAlive,
@@ -128,11 +128,11 @@
     if (opened.kind !== "head") {
         return finish({ kind: opened.kind, answer: undefined });
     }
-    inFlight.sign();
+    inFlight.onActivity();
     times.headMs = Math.round(clock.now() - startedAt);
     const head = parts.endpointWire.decodeHead(opened.res);
     if (head.weights !== undefined) {
-        endpointTable.sawWeights(place.entry.name, head.weights);
+        endpointTable.observeWeights(place.entry.name, head.weights);
     }
     const verdict = judgeHead(head, served);
     if (verdict === "garbled") {
@@ -145,16 +145,16 @@
     }
     const recordPrefill = (): void => {
         times.firstEventMs = Math.round(clock.now() - startedAt);
-        inFlight.answering();
-        prefixIndex.note(place.entry.name, place.chain, clock.now());
+        inFlight.answerStarted();
+        prefixIndex.record(place.entry.name, place.chain, clock.now());
         if (saveTo !== undefined) {
-            prefixIndex.note(saveTo, place.chain, clock.now());
+            prefixIndex.record(saveTo, place.chain, clock.now());
         }
     };
     return finish(
         await forwardAnswer(tryParts, opened, {
             onFirstEvent: recordPrefill,
-            onActivity: inFlight.sign,
+            onActivity: inFlight.onActivity,
             isAlive: inFlight.isAlive,
             onMove: move =>
                 watchOrders({
--- a/packages/router/src/serve/serveTries.ts
+++ b/packages/router/src/serve/serveTries.ts
@@ -5,7 +5,7 @@
 import type { TryOutcome } from "../dispatch/TryOutcome.js";
 
 import { failureOfOutcome } from "../dispatch/failureOfOutcome.js";
-import { overloadWait } from "../placement/overloadWait.js";
+import { overloadDelayMs } from "../placement/overloadDelayMs.js";
 import { allowedTries } from "./allowedTries.js";
 import { createStreamPace } from "./createStreamPace.js";
 import { isRepeatable } from "./isRepeatable.js";
@@ -31,7 +31,7 @@
 
 /** Returns whether no route to the same service has a more urgent priority. */
 const isUrgent = (parts: ServeParts, { route, service }: ServedRequest): boolean =>
-    (parts.knowledge().configuration?.routes ?? [])
+    (parts.declaredState().configuration?.routes ?? [])
         .filter(other => other.targets.some(target => target.service === service))
         .every(other => other.priority >= route.priority);
 
@@ -63,8 +63,8 @@
             : { kind: "answered", answer: progress.failure, tries: progress.request.tries };
 
     const startTry = async (progress: RequestProgress): Promise<ServedEnd> => {
-        parts.checkPause();
-        if (parts.quarantine.isStopped(served)) {
+        parts.checkSuspension();
+        if (parts.quarantine.isQuarantined(served)) {
             const { ran } = progress.request;
             return giveUp(
                 progress,
@@ -94,7 +94,7 @@
         });
         const waitMs = served.caller.prompt === undefined || stream.forwardedEvents > 0
             ? undefined
-            : overloadWait({
+            : overloadDelayMs({
                 queueMs: place.queueMs,
                 startMs: place.startMs,
                 objectiveMs: served.route.objectiveMs,
@@ -108,7 +108,7 @@
             return giveUp(progress, refusalOf(kind, detail, { retryAfterSeconds, ran: request.ran }));
         }
         // If no retry is possible, the try waits out silence: giving up would only lose the answer.
-        const hasBudget = parts.budgets.of(served.service).balance >= MIN_BUDGET_FOR_SILENCE;
+        const hasBudget = parts.retryBudgets.of(served.service).balance >= MIN_BUDGET_FOR_SILENCE;
         const isLastTry = request.tries + 1 >= allowedTries(served.route.maxTries, progress.notRun) || !hasBudget;
         const result = await runTry({ parts, served, place, progress: stream, isLastTry });
         return afterTry(progress, place, result);
@@ -117,7 +117,7 @@
     const afterTry = async (progress: RequestProgress, place: TryPlace, result: TryResult): Promise<ServedEnd> => {
         const { request } = progress;
         if (result.kind === "broken") {
-            await parts.quarantine.broke(served, place.entry);
+            await parts.quarantine.reportBrokenTry(served, place.entry);
         }
         if (result.kind === "answered") {
             return { kind: "answered", answer: result.answer, tries: request.tries + 1 };
@@ -133,12 +133,12 @@
         };
         if (result.kind === "moved") {
             // Its retry was reserved when it left, so that many streams that leave at once do not use up the budget.
-            parts.budgets.release(served.service);
+            parts.retryBudgets.release(served.service);
         }
         const failure = result.answer ?? progress.failure;
         const notRun = progress.notRun + (NOT_RUN_OUTCOMES.has(result.kind) ? 1 : 0);
         const maxTries = allowedTries(served.route.maxTries, notRun);
-        const budget = parts.budgets.of(served.service);
+        const budget = parts.retryBudgets.of(served.service);
         const plan = planAfterFailure(tried, failureOfOutcome(result.kind), budget, parts.clock.now(), {
             maxTries,
         });
@@ -158,7 +158,7 @@
                 retryAfterSeconds: RETRY_AFTER_SECONDS,
             });
         }
-        parts.budgets.set(served.service, plan.budget);
+        parts.retryBudgets.set(served.service, plan.budget);
         parts.metrics.count("azureshunt_retries_total", "Further tries by what ended the one before.", {
             after: result.kind,
         });
--- a/packages/router/src/serve/startFront.ts
+++ b/packages/router/src/serve/startCallerServer.ts
@@ -47,7 +47,7 @@
 const isReset = (err: NodeJS.ErrnoException): boolean => err.code === "ECONNRESET";
 
 /** Starts the listeners for callers and for the balancer. */
-export async function startFront(parts: CallerServerParts): Promise<CallerServer> {
+export async function startCallerServer(parts: CallerServerParts): Promise<CallerServer> {
     const { settings, callerWire } = parts;
     const running = new Set<ServerResponse>();
     const state = { isClosing: false };
--- a/packages/router/src/startGauges.ts
+++ b/packages/router/src/startGauges.ts
@@ -1,46 +1,53 @@
 import type { Metrics } from "@azureshunt/telemetry";
 
 import { orderFence } from "./fleet/orderFence.js";
-import type { NewsSources } from "./peers/NewsSources.js";
+import type { PeerSyncSources } from "./peers/PeerSyncSources.js";
 
 /** Sources of the gauges, read on every request for `/metrics`. */
-type GaugeSources = Pick<NewsSources, "clock" | "knowledge" | "book" | "allowances" | "orders" | "membership">;
+type GaugeSources = Pick<
+    PeerSyncSources,
+    "clock" | "declarations" | "endpointTable" | "allowances" | "orders" | "membership"
+>;
 
 /** Value of `order_fence` while this VM does not hold the lease. */
 const NO_FENCE = -1;
 
 /** Registers the gauges of a router and returns a function that unregisters them. */
 export function startGauges(metrics: Metrics, sources: GaugeSources): () => void {
-    const { clock, knowledge, book, allowances, orders, membership } = sources;
+    const { clock, declarations, endpointTable, allowances, orders, membership } = sources;
     const sumOf = (size: "running" | "waitingTokens"): number =>
-        book.ownShares().reduce((sum, [, share]) => sum + share[size], 0);
+        endpointTable.ownShares().reduce((sum, [, share]) => sum + share[size], 0);
     const rows: readonly (readonly [name: string, help: string, read: () => number])[] = [
         [
             "configuration_revision",
             "Revision in force; -1 before the first.",
-            () => knowledge.current().configuration?.revision ?? -1,
+            () => declarations.current().configuration?.revision ?? -1,
         ],
         [
             "configuration_age_ms",
             "Milliseconds since the revision was known to be the newest.",
-            () => clock.now() - knowledge.current().confirmedAt,
+            () => clock.now() - declarations.current().confirmedAt,
         ],
-        ["registry_age_ms", "Milliseconds since the registry answered.", () => clock.now() - book.answeredAt()],
-        ["endpoints", "Endpoints registered.", book.size],
+        [
+            "registry_age_ms",
+            "Milliseconds since the registry answered.",
+            () => clock.now() - endpointTable.answeredAt(),
+        ],
+        ["endpoints", "Endpoints registered.", endpointTable.size],
         ["in_flight", "This VM's requests at endpoints.", () => sumOf("running")],
         [
             "waiting_tokens",
             "Prompt tokens of this VM's requests that endpoints have not begun to answer.",
             () => sumOf("waitingTokens"),
         ],
-        ["peers", "Other VMs that are reckoned with.", () => membership.hearing().peers],
-        ["unheard_peers", "Of these, VMs out of hearing.", () => membership.hearing().unheard.length],
+        ["peers", "Other VMs that are reckoned with.", () => membership.liveness().peers],
+        ["unheard_peers", "Of these, VMs out of hearing.", () => membership.liveness().silent.length],
         [
             "is_relay",
             "1 while this VM passes facts on for its failure domain, else 0.",
             () => membership.isRelay() ? 1 : 0,
         ],
-        ["least_allowance_tokens", "Tokens left in the allowance that has least.", allowances.least],
+        ["least_allowance_tokens", "Tokens left in the allowance that has least.", allowances.minLevel],
         [
             "order_fence",
             "Fencing token of the order lease while this VM holds it, else -1.",
--- a/packages/router/src/startRouter.ts
+++ b/packages/router/src/startRouter.ts
@@ -10,19 +10,19 @@
 import { hasDied } from "./dispatch/hasDied.js";
 import { maxIdleConnections } from "./dispatch/maxIdleConnections.js";
 import { startOrders } from "./fleet/startOrders.js";
-import { createPauseWatch } from "./knowledge/createPauseWatch.js";
-import { startKnowledge } from "./knowledge/startKnowledge.js";
+import { createSuspensionWatch } from "./knowledge/createSuspensionWatch.js";
+import { startDeclarations } from "./knowledge/startDeclarations.js";
 import { createMembership } from "./peers/createMembership.js";
-import { createOthersLoad } from "./peers/createOthersLoad.js";
-import { createPassing } from "./peers/createPassing.js";
-import type { NewsSources } from "./peers/NewsSources.js";
+import { createPeerLoad } from "./peers/createPeerLoad.js";
+import { createRelayBuffer } from "./peers/createRelayBuffer.js";
+import type { PeerSyncSources } from "./peers/PeerSyncSources.js";
 import { peerTiming } from "./peers/peerTiming.js";
 import { startAnnouncing } from "./peers/startAnnouncing.js";
 import { startPeerListener } from "./peers/startPeerListener.js";
-import { startPeerNews } from "./peers/startPeerNews.js";
-import { createChainMemory } from "./placement/createChainMemory.js";
+import { startPeerSync } from "./peers/startPeerSync.js";
 import { createDemand } from "./placement/createDemand.js";
-import { createEndpointBook } from "./placement/createEndpointBook.js";
+import { createEndpointTable } from "./placement/createEndpointTable.js";
+import { createPrefixIndex } from "./placement/createPrefixIndex.js";
 import { limitsOfHolder } from "./placement/limitsOfHolder.js";
 import type { CallerWire } from "./ports/CallerWire.js";
 import type { DirectoryWire } from "./ports/DirectoryWire.js";
@@ -34,7 +34,7 @@
 import { createRequestHandler } from "./serve/createRequestHandler.js";
 import { createRetryBudgets } from "./serve/createRetryBudgets.js";
 import type { FreshnessBounds } from "./serve/FreshnessBounds.js";
-import { startFront } from "./serve/startFront.js";
+import { startCallerServer } from "./serve/startCallerServer.js";
 import { startGauges } from "./startGauges.js";
 import { startMetricsListener } from "./startMetricsListener.js";
 import { measureStore } from "./store/measureStore.js";
@@ -82,12 +82,14 @@
     const metrics = createMetrics();
     const store = measureStore(parts.store, clock, metrics);
     const agent = new EndpointAgent(clock.now, address => {
-        const service = book.serviceAt(address);
-        const declared = service === undefined ? undefined : knowledge.current().configuration?.services.get(service);
+        const service = endpointTable.serviceAt(address);
+        const declared = service === undefined
+            ? undefined
+            : declarations.current().configuration?.services.get(service);
         return maxIdleConnections(declared?.maxConnections, membership.vms());
     });
-    const chains = createChainMemory(holder =>
-        limitsOfHolder(knowledge.current().configuration, book.entryOf(holder as EndpointName))
+    const prefixIndex = createPrefixIndex(holder =>
+        limitsOfHolder(declarations.current().configuration, endpointTable.entryOf(holder as EndpointName))
     );
     const state = { isDraining: false, settings };
     const membership = createMembership(clock, {
@@ -98,17 +100,17 @@
         seeds: settings.seeds.filter(seed => seed !== settings.listen.peers),
     });
 
-    const pauseWatch = createPauseWatch(clock, jumpMs => {
+    const suspensionWatch = createSuspensionWatch(clock, jumpMs => {
         logger.warn(
             { jumpMs },
             "Monotonic and wall clock diverged: the process was suspended or the wall clock was stepped.",
         );
-        knowledge.pause();
-        registry.pause();
-        orders.tell({ kind: "paused" });
+        declarations.onSuspended();
+        registry.onSuspended();
+        orders.applyLeaseEvent({ kind: "suspended" });
         // Confirmations by peers count only after they have echoed a timestamp from after the suspension, so send one
         // soon. Deferred, because the suspension may be noticed while a round of beacons is being sent.
-        setImmediate(() => beacons.sendNow());
+        setImmediate(() => beacons.sendSoon());
     });
 
     const startedAt = clock.now();
@@ -117,7 +119,7 @@
      * once and would all read the store. Therefore each waits until it knows the relays, and the others until the
      * relays have read what they will then be asked for.
      */
-    const isHeld = (): boolean =>
+    const mustWaitForRelay = (): boolean =>
         settings.isFirstStart && clock.now() - startedAt < (membership.isRelay() ? RELAYS_FOUND_MS : RELAYS_READ_MS);
     const queryTopic = async (topic: string, from: number | undefined): Promise<TopicAnswer | undefined> => {
         const address = membership.isRelay() ? undefined : membership.relayAddress();
@@ -129,120 +131,125 @@
         return answer;
     };
 
-    const knowledge = startKnowledge({
+    const declarations = startDeclarations({
         clock,
         store,
         wire: directory,
         agent,
         logger: loggers("knowledge"),
         metrics,
-        checkPause: pauseWatch.check,
+        checkSuspension: suspensionWatch.check,
         isReader: membership.isDomainReader,
-        newsEveryMs: membership.newsEveryMs,
-        askRelay: queryTopic,
-        isHeld,
-        onNews: () => {
-            allowances.open(knowledge.current().configuration?.organisations.values() ?? []);
-            beacons.sendNow();
+        beaconIntervalMs: membership.beaconIntervalMs,
+        queryRelay: queryTopic,
+        mustWaitForRelay,
+        onChange: () => {
+            allowances.open(declarations.current().configuration?.organisations.values() ?? []);
+            beacons.sendSoon();
         },
     });
     const servesForMs = (): Millis => state.settings.weightsMs - WEIGHTS_MARGIN_MS;
-    const othersLoad = createOthersLoad({
+    const peerLoad = createPeerLoad({
         clock,
         failureDomain: settings.failureDomain,
         isRelay: membership.isRelay,
         roleOf: membership.roleOf,
     });
-    const passing = createPassing({
+    const relayBuffer = createRelayBuffer({
         clock,
         vm: settings.vm,
         relays: membership.relays,
-        newsEveryMs: membership.newsEveryMs,
+        beaconIntervalMs: membership.beaconIntervalMs,
     });
-    const book = createEndpointBook({
+    const endpointTable = createEndpointTable({
         clock,
         failureDomain: settings.failureDomain,
-        knowledge: knowledge.current,
-        othersAt: othersLoad.at,
-        quietMs: membership.quietMs,
+        declaredState: declarations.current,
+        peerLoadAt: peerLoad.at,
+        domainSilentMs: membership.domainSilentMs,
         outdatedLimitMs: servesForMs,
         onChange: (endpoint, change, inputs) =>
             loggers("endpoint").info({ endpoint, change, ...inputs }, "The view of an endpoint changed."),
-        onGone: chains.forget,
+        onGone: prefixIndex.forget,
     });
     const registry = startRegistry({
         clock,
         store,
         wire: directory,
-        book,
+        endpointTable,
         logger: loggers("registry"),
         metrics,
         leavingMs: () => state.settings.leavingMs,
         isReader: membership.isReader,
-        askRelay: queryTopic,
-        isHeld,
-        checkPause: pauseWatch.check,
+        queryRelay: queryTopic,
+        mustWaitForRelay,
+        checkSuspension: suspensionWatch.check,
         // With many VMs, beacons are less frequent than reads; a reader's next regular beacon would reach the others
         // too late.
-        onRead: () => membership.isReader() && membership.vms() > peerTiming.fewVms ? beacons.sendNow() : undefined,
+        onStoreRead: () =>
+            membership.isReader() && membership.vms() > peerTiming.fewVms ? beacons.sendSoon() : undefined,
     });
     const demand = createDemand(clock);
-    const allowances = createAllowances(clock, membership.hearing, Math.random);
+    const allowances = createAllowances(clock, membership.liveness, Math.random);
     const quarantine = createQuarantine({ clock, hasDied, logger: loggers("quarantine"), metrics });
     const orders = startOrders({
         clock,
         vm: settings.vm,
         store,
-        book,
+        endpointTable,
         agent,
         wire: parts.endpointWire,
-        knowledge: knowledge.current,
+        declaredState: declarations.current,
         logger: loggers("fleet"),
-        checkPause: pauseWatch.check,
+        checkSuspension: suspensionWatch.check,
         servesForMs,
         demand: () => demand.rate() + membership.demand(),
         leaseMs: () => state.settings.orderLeaseMs,
-        rank: lastHolder => membership.rank(lastHolder, knowledge.hasStore()),
-        tellPeers: () => beacons.sendNow(),
+        rank: lastHolder => membership.rank(lastHolder, declarations.hasStore()),
+        sendSoon: () => beacons.sendSoon(),
     });
 
-    const sources: NewsSources = {
+    const sources: PeerSyncSources = {
         clock,
-        knowledge,
+        declarations,
         allowances,
-        book,
-        chains,
+        endpointTable,
+        prefixIndex,
         demand,
         orders,
         quarantine,
         registry,
-        othersLoad,
+        peerLoad,
         membership,
-        passing,
+        relayBuffer,
     };
-    const beacons = startPeerNews({
+    const beacons = startPeerSync({
         sources,
         settings,
         incarnation,
         logger,
         metrics,
-        checkPause: pauseWatch.check,
+        checkSuspension: suspensionWatch.check,
     });
 
     const bounds = (): FreshnessBounds => ({
-        keysMs: state.settings.keyWithdrawalMs - KEY_MARGIN_MS,
-        denialMs: state.settings.configurationMs,
+        maxAgeForKeysMs: state.settings.keyWithdrawalMs - KEY_MARGIN_MS,
+        maxAgeForDenialMs: state.settings.configurationMs,
     });
     const handler = createRequestHandler({
         clock,
         random: Math.random,
-        knowledge: knowledge.current,
-        book,
-        chains,
+        declaredState: declarations.current,
+        endpointTable,
+        prefixIndex,
         allowances,
-        charges: createAllowanceQueue({ clock, allowances, later: (delayMs, run) => void setTimeout(run, delayMs) }),
+        allowanceQueue: createAllowanceQueue({
+            clock,
+            allowances,
+            schedule: (delayMs, run) => void setTimeout(run, delayMs),
+        }),
         demand,
-        budgets: createRetryBudgets(() => state.settings.retries, () => membership.vms()),
+        retryBudgets: createRetryBudgets(() => state.settings.retries, () => membership.vms()),
         quarantine,
         agent,
         callerWire: parts.callerWire,
@@ -250,28 +257,29 @@
         bounds,
         logger: loggers("request"),
         metrics,
-        choosers: membership.vms,
-        isQuiet: domain => membership.quietMs(domain) > 0,
-        checkPause: pauseWatch.check,
+        placingVms: membership.vms,
+        isDomainSilent: domain => membership.domainSilentMs(domain) > 0,
+        checkSuspension: suspensionWatch.check,
         isDraining: () => state.isDraining,
     });
     const isReady = (): boolean =>
-        !state.isDraining && book.isKnown() && clock.now() - knowledge.current().confirmedAt < bounds().keysMs;
+        !state.isDraining && endpointTable.isKnown() &&
+        clock.now() - declarations.current().confirmedAt < bounds().maxAgeForKeysMs;
     const peerListener = await startPeerListener({
         address: settings.listen.peers,
-        configuration: knowledge.raw,
+        configuration: declarations.raw,
         topics: new Map([
-            [directory.declarationsTopic, knowledge.answer],
+            [directory.declarationsTopic, declarations.answer],
             [directory.registryTopic, registry.answer],
         ]),
     });
     const stopGauges = startGauges(metrics, sources);
     const metricsListener = await startMetricsListener(settings.listen.metrics, metrics);
-    const front = await startFront({
+    const front = await startCallerServer({
         settings,
         handler,
         callerWire: parts.callerWire,
-        limits: () => knowledge.current().configuration?.limits,
+        limits: () => declarations.current().configuration?.limits,
         isReady,
     });
     const announcing = startAnnouncing({
@@ -288,7 +296,7 @@
         logger,
     });
     const timer = setInterval(() => {
-        pauseWatch.check();
+        suspensionWatch.check();
         quarantine.tick();
         membership.tick();
         orders.tick();
@@ -300,7 +308,7 @@
         state.isDraining = true;
         logger.info("Stopping.");
         await front.drain(state.settings.stopMs);
-        [beacons, registry, knowledge].forEach(part => part.stop());
+        [beacons, registry, declarations].forEach(part => part.stop());
         clearInterval(timer);
         stopGauges();
         [peerListener, metricsListener].forEach(listener => {
--- a/packages/router/src/store/createTopicMirror.ts
+++ b/packages/router/src/store/createTopicMirror.ts
@@ -4,7 +4,7 @@
 
 /** A VM's copy of a topic, kept for VMs that query it instead of the store. */
 type TopicMirror = {
-    readonly note: (page: StorePage & { readonly isWhole: boolean; }) => void;
+    readonly record: (page: StorePage & { readonly isWhole: boolean; }) => void;
     /**
      * Returns the newest records from an offset on, or those of all keys if `from` is `undefined`.
      *
@@ -27,7 +27,7 @@
             || (offset > before.offset
                 && (value === undefined || before.value === undefined || !isSame(before.value, value)));
     };
-    const note: TopicMirror["note"] = ({ records, end, isWhole }) => {
+    const record: TopicMirror["record"] = ({ records, end, isWhole }) => {
         const keys = new Set(records.map(({ key }) => key));
         const deletedKeys = isWhole ? [...state.records.keys()].filter(key => !keys.has(key)) : [];
         deletedKeys.forEach(key => state.records.set(key, { key, offset: end - 1, value: undefined }));
@@ -43,5 +43,5 @@
             .filter(({ offset, value }) => from === undefined ? value !== undefined : offset >= from);
         return { records, end, isWhole: from === undefined };
     };
-    return { note, answer };
+    return { record, answer };
 }
--- a/packages/router/src/store/followTopic.ts
+++ b/packages/router/src/store/followTopic.ts
@@ -12,7 +12,7 @@
     /** The records are at least as new as the store was at this time. */
     readonly asOf: Millis;
     /** When the read was sent, to the store or to a relay. */
-    readonly askedAt: Millis;
+    readonly requestedAt: Millis;
     /** The offset of the next record. */
     readonly end: number;
     /** Whether a relay answered instead of the store. */
@@ -28,11 +28,11 @@
     /** Time until the next read is due; 0 or less means now. Called repeatedly until then. */
     readonly dueInMs: () => Millis;
     /** Queries a relay from an offset on, or for all keys; `undefined` if there is no relay or it has no fresh copy. */
-    readonly askRelay: (from: number | undefined) => Promise<TopicAnswer | undefined>;
+    readonly queryRelay: (from: number | undefined) => Promise<TopicAnswer | undefined>;
     /** Whether the first read must still wait, because a relay that can answer it may yet be found. */
-    readonly isHeld: () => boolean;
+    readonly mustWaitForRelay: () => boolean;
     /** Called with the result of every successful read. */
-    readonly onNews: (read: TopicRead) => void;
+    readonly onRead: (read: TopicRead) => void;
     /** Called with the kind of failure of every failed read from the store. */
     readonly onFailure: (kind: string) => void;
 };
@@ -64,7 +64,7 @@
     };
 
     const readNewest = async (): Promise<Millis> => {
-        const askedAt = clock.now();
+        const requestedAt = clock.now();
         const page = await store.newest(topic);
         return page.caseOf({
             Left: failure => {
@@ -73,13 +73,13 @@
             },
             Right: ({ records, end }) => {
                 state.next = end;
-                parts.onNews({ records, end, isWhole: true, askedAt, asOf: askedAt, isRelayed: false });
+                parts.onRead({ records, end, isWhole: true, requestedAt, asOf: requestedAt, isRelayed: false });
                 return 0;
             },
         });
     };
     const readFrom = async (from: number): Promise<Millis> => {
-        const askedAt = clock.now();
+        const requestedAt = clock.now();
         // While the store does not answer, a waiting read would notice its return late and delay requests with keys.
         const page = await store.read(topic, from, state.isStoreAnswering ? parts.waitMs() : 0);
         state.isStoreAnswering = page.isRight();
@@ -91,7 +91,7 @@
             },
             Right: ({ records, end }) => {
                 state.next = Math.max(from, records.length === 0 ? end : (records.at(-1)?.offset ?? from) + 1);
-                parts.onNews({ records, end, isWhole: false, askedAt, asOf: askedAt, isRelayed: false });
+                parts.onRead({ records, end, isWhole: false, requestedAt, asOf: requestedAt, isRelayed: false });
                 return 0;
             },
         });
@@ -102,14 +102,14 @@
      * from the time of the request. Returns false if the store has to be read.
      */
     const readFromRelay = async (): Promise<boolean> => {
-        const askedAt = clock.now();
-        const answer = await parts.askRelay(state.next);
+        const requestedAt = clock.now();
+        const answer = await parts.queryRelay(state.next);
         if (answer === undefined || state.isStopped) {
             return false;
         }
         state.next = Math.max(state.next ?? 0, answer.end);
         const { records, end, isWhole, ageMs } = answer;
-        parts.onNews({ records, end, isWhole, askedAt, asOf: askedAt - ageMs, isRelayed: true });
+        parts.onRead({ records, end, isWhole, requestedAt, asOf: requestedAt - ageMs, isRelayed: true });
         return true;
     };
     const readNext = async (): Promise<Millis> => {
@@ -119,7 +119,7 @@
         return state.next === undefined ? readNewest() : readFrom(state.next);
     };
     const loop = async (): Promise<void> => {
-        const firstDueInMs = parts.isHeld() ? RECHECK_MS : 0;
+        const firstDueInMs = parts.mustWaitForRelay() ? RECHECK_MS : 0;
         const dueInMs = state.next === undefined ? firstDueInMs : parts.dueInMs();
         const delayMs = dueInMs > 0 ? Math.min(dueInMs, RECHECK_MS) : await readNext();
         if (!state.isStopped) {
--- a/spec/keyFreshness.pml
+++ b/spec/keyFreshness.pml
@@ -1,7 +1,7 @@
 /*
  * The freshness of keys: a VM serves a key only while it knows that its configuration was the newest a short time ago.
  *
- * Models `stepKnowledge` (a process takes only later revisions; evidence is as of the sending of a read, or of the beacon
+ * Models `stepDeclaredState` (a process takes only later revisions; evidence is as of the sending of a read, or of the beacon
  * that vouches for it, which is told by the receiver's own stamp that came back in it; a pause voids it, and all that was
  * sent before) and the check of `admitRequest` of packages/router. Revision 2 withdraws the key.
  * Two VMs, discrete time, reads that answer late, beacons that lie in a buffer, VMs that are suspended and whose clocks stand
--- a/spec/relayCounts.pml
+++ b/spec/relayCounts.pml
@@ -1,7 +1,7 @@
 /*
  * A VM learns what others spend from two relays, each of which adds up what it hears from its own start on.
  *
- * Models `createRelayCounts` of packages/router: one relay is followed; when it falls silent, the other one goes on from
+ * Models `createRelayCounters` of packages/router: one relay is followed; when it falls silent, the other one goes on from
  * what it had told when the first spoke last but one. Spending, hearing and telling come in any order, but that a relay
  * hears within a round of its own what the other one told before that round. The first relay may end.
  *
--- a/spec/relayRead.pml
+++ b/spec/relayRead.pml
@@ -2,7 +2,7 @@
  * A VM asks a relay of its failure domain for the declarations, in place of the store, and serves a key on the answer.
  *
  * Models `followTopic` (what a relay gives is as old as it says, reckoned from when it was asked) and `answer` of
- * `startKnowledge` (a relay looks for a suspension before it answers, and answers nothing then) of packages/router. Revision
+ * `startDeclarations` (a relay looks for a suspension before it answers, and answers nothing then) of packages/router. Revision
  * 2 withdraws the key. Discrete time; questions and answers that lie on the way; a relay that is suspended, whose clock
  * stands still meanwhile.
  *
