--- a/packages/router/src/dispatch/createEventSplitter.ts
+++ b/packages/router/src/dispatch/createEventSplitter.ts
@@ -18,8 +18,8 @@
  * Creates a splitter of a stream's bytes into complete events. If an endpoint dies in the middle of an event, the
  * partial event is never returned.
  *
- * @returns `push`, which takes the next bytes and returns the events completed by them, and `bufferedBytes`, the number of bytes
- *   of the incomplete event
+ * @returns `push`, which takes the next bytes and returns the events completed by them, and `bufferedBytes`, the number
+ *   of bytes of the incomplete event
  */
 export function createEventSplitter(): {
     readonly push: (chunk: Buffer) => readonly StreamEvent[];
--- a/packages/router/src/knowledge/DeclaredState.ts
+++ b/packages/router/src/knowledge/DeclaredState.ts
@@ -2,8 +2,8 @@
 
 import type { RoutingConfiguration } from "../configuration/RoutingConfiguration.js";
 
-/** Target weights that the operators set for a model, and when this VM learnt of them. */
-type TargetWeights = { readonly version: number; readonly learntAt: Millis; };
+/** Target weights that the operators set for a model, and when this VM learned of them. */
+type TargetWeights = { readonly version: number; readonly learnedAt: Millis; };
 
 /** The last target versions of a model, newest first; never empty. */
 type WeightsHistory = readonly TargetWeights[];
--- a/packages/router/src/knowledge/startDeclarations.ts
+++ b/packages/router/src/knowledge/startDeclarations.ts
@@ -24,7 +24,7 @@
     readonly agent: EndpointAgent;
     readonly logger: Logger;
     readonly metrics: Metrics;
-    /** Called when this VM learnt something that the other VMs should receive soon. */
+    /** Called when this VM learned something that the other VMs should receive soon. */
     readonly onChange: () => void;
     /** Whether this VM reads the declarations for the others of its failure domain. */
     readonly isReader: () => boolean;
--- a/packages/router/src/knowledge/stepDeclaredState.ts
+++ b/packages/router/src/knowledge/stepDeclaredState.ts
@@ -47,7 +47,7 @@
     if (version <= (before[0]?.version ?? 0)) {
         return declaredState;
     }
-    const history = [{ version, learntAt: now }, ...before].slice(0, TARGET_HISTORY);
+    const history = [{ version, learnedAt: now }, ...before].slice(0, TARGET_HISTORY);
     return { ...declaredState, weights: new Map([...declaredState.weights, [model, history]]) };
 };
 
--- a/packages/router/src/peers/Beacon.ts
+++ b/packages/router/src/peers/Beacon.ts
@@ -31,8 +31,8 @@
     /** Sending time on the sender's monotonic clock; the receiver echoes it. */
     readonly sentAt: Millis;
     /**
-     * Newest timestamp of the receiver that the sender has received, and how long ago it arrived. It gives the receiver
-     * an upper bound for the age of this beacon, however long the datagram was delayed.
+     * Newest timestamp of the receiver that the sender has received, and the time since it arrived. It gives the
+     * receiver an upper bound for the age of this beacon, however long the datagram was delayed.
      */
     readonly echo: { readonly incarnation: Incarnation; readonly sentAt: Millis; readonly heldMs: Millis; } | undefined;
     /** What the sender can do besides its requests, relative to other VMs. */
--- a/packages/router/src/peers/createUrgentSender.ts
+++ b/packages/router/src/peers/createUrgentSender.ts
@@ -16,7 +16,7 @@
     readonly stop: () => void;
 };
 
-/** Time between checks whether there are now so many VMs that urgent sends are due without an update. */
+/** Time between checks whether the number of VMs now requires urgent sends without an update. */
 const RECHECK_MS: Millis = 1_000;
 /** Minimum time between two urgent sends. */
 const MIN_GAP_MS: Millis = 40;
--- a/packages/router/src/placement/sampleCandidates.ts
+++ b/packages/router/src/placement/sampleCandidates.ts
@@ -25,15 +25,15 @@
  * looked idle, queues would swing between engines: half of the long prompts were late even under low load. Choosing the
  * best of a few random candidates spreads the requests and mostly avoids long queues.
  *
- * @param choosers VMs that choose among these endpoints; up to `peerTiming.fewVms` all candidates are returned
+ * @param placingVms VMs that choose among these endpoints; up to `peerTiming.fewVms` all candidates are returned
  * @param random uniformly distributed in [0, 1)
  */
 export function sampleCandidates(
     candidates: readonly Candidate[],
-    choosers: number,
+    placingVms: number,
     random: () => number,
 ): readonly Candidate[] {
-    return choosers <= peerTiming.fewVms || candidates.length <= DRAWN_COUNT
+    return placingVms <= peerTiming.fewVms || candidates.length <= DRAWN_COUNT
         ? candidates
         : [
             ...new Set([
--- a/packages/router/src/serve/forwardStream.ts
+++ b/packages/router/src/serve/forwardStream.ts
@@ -6,7 +6,7 @@
 import type { StreamHooks } from "./StreamHooks.js";
 import type { StreamProgress } from "./StreamProgress.js";
 
-/** A stream is given up after this many silent intervals even if its endpoint is alive: its connection is lost. */
+/** A stream ends after this many silent intervals even if its endpoint is alive: its connection is lost. */
 const MAX_SILENT_INTERVALS = 2;
 
 type StreamParts = StreamHooks & {
--- a/packages/router/src/startRouter.ts
+++ b/packages/router/src/startRouter.ts
@@ -275,7 +275,7 @@
     });
     const stopGauges = startGauges(metrics, sources);
     const metricsListener = await startMetricsListener(settings.listen.metrics, metrics);
-    const front = await startCallerServer({
+    const callerServer = await startCallerServer({
         settings,
         handler,
         callerWire: parts.callerWire,
@@ -307,7 +307,7 @@
     const shutDown = async (): Promise<void> => {
         state.isDraining = true;
         logger.info("Stopping.");
-        await front.drain(state.settings.stopMs);
+        await callerServer.drain(state.settings.stopMs);
         [beacons, registry, declarations].forEach(part => part.stop());
         clearInterval(timer);
         stopGauges();
