--- a/packages/router/src/knowledge/Knowledge.ts
+++ b/packages/router/src/knowledge/DeclaredState.ts
@@ -2,8 +2,8 @@
 
 import type { RoutingConfiguration } from "../configuration/RoutingConfiguration.js";
 
-/** Target weights that the operators set for a model, and when this VM learnt of them. */
-type TargetWeights = { readonly version: number; readonly learntAt: Millis; };
+/** Target weights that the operators set for a model, and when this VM learned of them. */
+type TargetWeights = { readonly version: number; readonly learnedAt: Millis; };
 
 /** The last target versions of a model, newest first; never empty. */
 type WeightsHistory = readonly TargetWeights[];
@@ -11,11 +11,11 @@
 /**
  * The configuration and target weights that operators declared, as one VM knows them. Times are of its monotonic clock.
  */
-export type Knowledge = {
+export type DeclaredState = {
     /** The newest configuration that this process received; never replaced by an older one. */
     readonly configuration: RoutingConfiguration | undefined;
     /** The newest revision known to exist; above that of `configuration` until the newer one is read. */
-    readonly heardRevision: number;
+    readonly newestRevision: number;
     /** Time as of which `configuration` was known to be the newest; `-Infinity` until that is confirmed. */
     readonly confirmedAt: Millis;
     /** When the process last detected a suspension; `-Infinity` if it never did. */
--- a/packages/router/src/serve/forwardStream.ts
+++ b/packages/router/src/serve/forwardStream.ts
@@ -1,12 +1,12 @@
 import { createEventSplitter } from "../dispatch/createEventSplitter.js";
-import { endsWhole } from "../dispatch/endsWhole.js";
+import { isComplete } from "../dispatch/isComplete.js";
 import type { OpenedCall } from "../dispatch/OpenedCall.js";
 import type { TryOutcome } from "../dispatch/TryOutcome.js";
 import type { ServedRequest } from "./ServedRequest.js";
 import type { StreamHooks } from "./StreamHooks.js";
 import type { StreamProgress } from "./StreamProgress.js";
 
-/** A stream is given up after this many silent intervals even if its endpoint is alive: its connection is lost. */
+/** A stream ends after this many silent intervals even if its endpoint is alive: its connection is lost. */
 const MAX_SILENT_INTERVALS = 2;
 
 type StreamParts = StreamHooks & {
@@ -84,8 +84,8 @@
         res.on("error", () => settle(served.signal.aborted ? "cancelled" : "broken"));
         res.on("close", () => settle(served.signal.aborted ? "cancelled" : "broken"));
         res.on("end", () => {
-            const isComplete = endsWhole(opened) && splitter.rest() === 0;
-            settle(isComplete ? "answered" : "broken");
+            const isAnswerComplete = isComplete(opened) && splitter.bufferedBytes() === 0;
+            settle(isAnswerComplete ? "answered" : "broken");
         });
     });
 }
