--- a/packages/daemon/src/__tests__/fakes/FakeLog.ts
+++ b/packages/daemon/src/__tests__/fakes/FakeLog.ts
@@ -6,17 +6,17 @@
 
 const POLL_MS = 5;
 
-/** A log in memory that several daemons share, with switches for its failures. */
+/** A log in memory that several daemons share, with switches to simulate failures. */
 export class FakeLog {
     readonly records: Records = [];
     /** Records before this offset have expired. */
     start = 0;
-    /** Appends that take effect and whose answers are lost. */
+    /** Number of next appends that take effect, but whose answers are lost. */
     loseAnswers = 0;
-    /** Appends that are refused before they take effect. */
+    /** Number of next appends that fail without effect. */
     refuseAppends = 0;
 
-    /** One daemon's way to the log; nothing gets through while `isCut` says so. */
+    /** Creates the log port of one daemon; the log is unreachable while `isCut` returns true. */
     port(isCut: () => boolean = () => false): LogPort {
         const append: LogPort["append"] = (_stream, records) => {
             if (isCut() || this.refuseAppends > 0) {
--- a/packages/daemon/src/__tests__/unit/admin.test.ts
+++ b/packages/daemon/src/__tests__/unit/admin.test.ts
@@ -17,7 +17,7 @@
 const ADMIN = newKey("admin", new Uint8Array(32).fill(7));
 const FIRST = { note: "first", added: { organisations: [{ id: "chains", rate: 1, burst: 1 }] } };
 
-type Asked = { readonly status: number; readonly body: Record<string, unknown>; };
+type Reply = { readonly status: number; readonly body: Record<string, unknown>; };
 
 const startAdmin = async (log = new FakeLog()) => {
     const { ctx } = fakeContext();
@@ -37,7 +37,7 @@
         trace: createTracePort(() => 0),
         isDraining: () => false,
     });
-    const ask = async (method: string, path: string, body?: unknown, headers: object = {}): Promise<Asked> => {
+    const callAdmin = async (method: string, path: string, body?: unknown, headers: object = {}): Promise<Reply> => {
         const res = await request(`http://127.0.0.1:${listener.port}${path}`, {
             method: method as "GET",
             headers: { authorization: `Bearer ${ADMIN.key}`, ...headers },
@@ -49,7 +49,7 @@
         release.stop();
         await listener.stop();
     };
-    return { ask, stop, release, log };
+    return { callAdmin, stop, release, log };
 };
 
 const REFUSED = [
@@ -79,7 +79,12 @@
     { title: "an unknown request", call: ["GET", "/admin/v1/requests/none"], status: 404, code: "not-found" },
     { title: "an unknown organisation", call: ["GET", "/admin/v1/organisations/none"], status: 404, code: "not-found" },
     { title: "an unknown key's withdrawal", call: ["DELETE", "/admin/v1/keys/none"], status: 404, code: "not-found" },
-    { title: "a key that is no JSON", call: ["POST", "/admin/v1/keys", "{"], status: 400, code: "bad-request" },
+    {
+        title: "a key request that is not JSON",
+        call: ["POST", "/admin/v1/keys", "{"],
+        status: 400,
+        code: "bad-request",
+    },
     {
         title: "a key of an unknown organisation",
         call: ["POST", "/admin/v1/keys", "{\"organisation\":\"none\"}"],
@@ -87,7 +92,7 @@
         code: "bad-request",
     },
     {
-        title: "a body over the bound",
+        title: "a body over the size limit",
         call: ["POST", "/admin/v1/releases", "x".repeat(100_001)],
         status: 413,
         code: "body-too-large",
@@ -96,8 +101,8 @@
 
 REFUSED.forEach(({ title, call: [method = "", path = "", body], headers, status, code }) =>
     test(`admin API refuses ${title}`, async t => {
-        const { ask, stop, log } = await startAdmin();
-        const answer = await ask(method, path, body, headers);
+        const { callAdmin, stop, log } = await startAdmin();
+        const answer = await callAdmin(method, path, body, headers);
         t.is(answer.status, status);
         t.like(answer.body, { error: { code, ran: "no" } });
         t.is(log.records.length, 0);
@@ -105,9 +110,9 @@
     })
 );
 
-test("a note with faults is answered with all of them and changes nothing", async t => {
-    const { ask, stop, log } = await startAdmin();
-    const { status, body } = await ask(
+test("an invalid note is answered with all its faults and changes nothing", async t => {
+    const { callAdmin, stop, log } = await startAdmin();
+    const { status, body } = await callAdmin(
         "POST",
         "/admin/v1/releases",
         "note: n\nadded:\n    models: [{ name: m }, { nmae: x }]\n",
@@ -123,25 +128,25 @@
     await stop();
 });
 
-test("a release: dry run, applied, applied again, stale", async t => {
-    const { ask, stop, log } = await startAdmin();
-    const dry = await ask("POST", "/admin/v1/releases?dry-run=1", FIRST);
+test("a release: dry run, accepted, repeated without effect, conflict on an old base", async t => {
+    const { callAdmin, stop, log } = await startAdmin();
+    const dry = await callAdmin("POST", "/admin/v1/releases?dry-run=1", FIRST);
     t.like(dry.body, {
         kind: "valid",
         revision: 0,
         changes: [{ kind: "organisations", id: "chains", change: "added" }],
     });
     t.is(log.records.length, 0);
-    t.like(await ask("POST", "/admin/v1/releases?base=0", FIRST), {
+    t.like(await callAdmin("POST", "/admin/v1/releases?base=0", FIRST), {
         status: 200,
         body: { kind: "accepted", revision: 1 },
     });
-    t.like((await ask("POST", "/admin/v1/releases?base=0", FIRST)).body, {
+    t.like((await callAdmin("POST", "/admin/v1/releases?base=0", FIRST)).body, {
         kind: "accepted",
         revision: 1,
         unchanged: true,
     });
-    const stale = await ask("POST", "/admin/v1/releases?base=0", {
+    const stale = await callAdmin("POST", "/admin/v1/releases?base=0", {
         note: "n",
         added: { models: [{ name: "m", version: "v" }] },
     });
@@ -149,29 +154,33 @@
         status: 409,
         body: { kind: "conflict", base: 0, revision: 1, changed: ["added organisation chains"] },
     });
-    t.like((await ask("GET", "/admin/v1/releases/1")).body, { revision: 1, note: "first", release: { note: "first" } });
-    t.like((await ask("GET", "/admin/v1/status?fleet=1")).body, { revision: 1, inForce: true });
-    t.like((await ask("GET", "/admin/v1/configuration")).body, { added: { organisations: [{ id: "chains" }] } });
+    t.like((await callAdmin("GET", "/admin/v1/releases/1")).body, {
+        revision: 1,
+        note: "first",
+        release: { note: "first" },
+    });
+    t.like((await callAdmin("GET", "/admin/v1/status?fleet=1")).body, { revision: 1, inForce: true });
+    t.like((await callAdmin("GET", "/admin/v1/configuration")).body, { added: { organisations: [{ id: "chains" }] } });
     await stop();
 });
 
-test("a key is shown once, works, and stops working when it is withdrawn", async t => {
-    const { ask, stop, release } = await startAdmin();
-    await ask("POST", "/admin/v1/releases", FIRST);
-    const given = await ask("POST", "/admin/v1/keys", { organisation: "chains", id: "k1" });
+test("a new key is shown once, is valid, and becomes invalid on withdrawal", async t => {
+    const { callAdmin, stop, release } = await startAdmin();
+    await callAdmin("POST", "/admin/v1/releases", FIRST);
+    const given = await callAdmin("POST", "/admin/v1/keys", { organisation: "chains", id: "k1" });
     const key = String(given.body["key"]);
     t.is(given.status, 200);
     t.like(given.body, { kind: "accepted", keyKind: "caller", id: "k1", revision: 2 });
     t.is(authenticate(release.reader().fold.configuration, key).isRight(), true);
-    t.false(JSON.stringify(await ask("GET", "/admin/v1/keys")).includes(key));
-    t.false(JSON.stringify(await ask("GET", "/admin/v1/releases/2")).includes(key));
-    t.is((await ask("DELETE", "/admin/v1/keys/k1")).body["revision"], 3);
-    t.like((await ask("DELETE", "/admin/v1/keys/k1")).body, { kind: "accepted", unchanged: true });
+    t.false(JSON.stringify(await callAdmin("GET", "/admin/v1/keys")).includes(key));
+    t.false(JSON.stringify(await callAdmin("GET", "/admin/v1/releases/2")).includes(key));
+    t.is((await callAdmin("DELETE", "/admin/v1/keys/k1")).body["revision"], 3);
+    t.like((await callAdmin("DELETE", "/admin/v1/keys/k1")).body, { kind: "accepted", unchanged: true });
     t.is(authenticate(release.reader().fold.configuration, key).isRight(), false);
     await stop();
 });
 
-test("the committed OpenAPI document is up to date (node scripts/generateSchemas.mjs)", t => {
+test("the committed OpenAPI document matches the routes (node scripts/generateSchemas.mjs)", t => {
     const file = new URL("../../../openapi/admin.openapi.json", import.meta.url);
     t.deepEqual(JSON.parse(readFileSync(file, "utf8")), JSON.parse(JSON.stringify(openApi())));
 });
--- a/packages/daemon/src/__tests__/unit/loadSettings.test.ts
+++ b/packages/daemon/src/__tests__/unit/loadSettings.test.ts
@@ -27,7 +27,7 @@
     return loadSettings(file).mapLeft(faults => faults.map(fault => fault.replace(`${file}:`, "")));
 };
 
-test.serial("settings: what is left out has a default", t => {
+test.serial("settings: an omitted field has its default", t => {
     t.is(load(GOOD).map(settings => settings.limits.drainMs).extract(), 300_000);
 });
 
@@ -37,9 +37,9 @@
         text: GOOD.replace("127.0.0.1:1", "nowhere").replace("vm: vm-1", "vm: a b"),
         faults: [/^1:1 vm: found /, /^4:5 listen\.caller: found .*; allowed: use host:port$/],
     },
-    { name: "a field that does not exist", text: `${GOOD}colour: red\n`, faults: [/colour: found an unknown field/] },
-    { name: "no YAML", text: "vm: [", faults: [/well-formed YAML/] },
-    { name: "a missing part", text: GOOD.replace(/peers:[^]*/, ""), faults: [/peers/] },
+    { name: "an unknown field", text: `${GOOD}colour: red\n`, faults: [/colour: found an unknown field/] },
+    { name: "malformed YAML", text: "vm: [", faults: [/well-formed YAML/] },
+    { name: "a missing section", text: GOOD.replace(/peers:[^]*/, ""), faults: [/peers/] },
 ].forEach(({ name, text, faults }) =>
     test.serial(`settings: ${name}`, t => {
         const found = load(text).swap().orDefault([]);
@@ -48,13 +48,13 @@
     })
 );
 
-test.serial("settings: a secret that is too short is not shown", t => {
+test.serial("settings: a secret that is too short is not printed in its fault", t => {
     const faults = load(GOOD.replace("a-secret-of-enough-length", "tooshort")).swap().orDefault([]);
     t.is(faults.length, 1);
     t.false(faults.join().includes("tooshort"), faults.join());
 });
 
-test.serial("settings: a file that cannot be read", t => {
+test.serial("settings: an unreadable file gives one fault", t => {
     t.deepEqual(loadSettings(join(folder, "none.yaml")).swap().extract(), [
         `${join(folder, "none.yaml")}: cannot be read`,
     ]);
--- a/packages/daemon/src/__tests__/unit/peerClients.test.ts
+++ b/packages/daemon/src/__tests__/unit/peerClients.test.ts
@@ -13,27 +13,27 @@
 
 type Case = {
     readonly name: string;
-    /** How late each answer is; a call without one is never answered. */
+    /** Delay of each answer in milliseconds; `undefined` if the call is never answered. */
     readonly delays: readonly (number | undefined)[];
-    /** Time before each call. */
+    /** Wait before each call, in milliseconds. */
     readonly pauses: readonly number[];
-    /** The calls that are answered in time. */
+    /** Whether each call is answered in time. */
     readonly answered: readonly boolean[];
-    /** Connections that the daemon has seen. */
+    /** Number of connections that the server accepted. */
     readonly connections: number;
 };
 
-// A busy daemon answers one call late, its channel is closed, and each further call waits for a new connection, late again.
+// If one late answer of a busy daemon closed its channel, all further calls would need a new one and be late too.
 const cases: readonly Case[] = [
     {
-        name: "one late answer closes nothing",
+        name: "one late answer does not close the channel",
         delays: [0, 200, 0],
         pauses: [0, 0, 0],
         answered: [true, false, true],
         connections: 1,
     },
     {
-        name: "a silent channel is given up",
+        name: "a silent channel is closed and replaced",
         delays: [0, undefined, 0],
         pauses: [0, 1_000, 0],
         answered: [true, false, true],
--- a/packages/daemon/src/__tests__/unit/releasePort.test.ts
+++ b/packages/daemon/src/__tests__/unit/releasePort.test.ts
@@ -26,29 +26,29 @@
     return createReleasePort({ ...fakeContext().ctx, log: log.port(isCut), peers: peers.portOf(vm) });
 };
 
-const until = async (holds: () => boolean): Promise<void> => {
+const waitUntil = async (holds: () => boolean): Promise<void> => {
     while (!holds()) {
         await new Promise(resolve => setTimeout(resolve, 5));
     }
 };
 const revisionOf = (release: Release): number => release.current()?.revision ?? 0;
 
-test("a daemon that is cut off from the platform but not from its peers learns a withdrawal", async t => {
-    // A daemon cut off from the log serves a withdrawn key on, though a peer in reach has read the withdrawal.
+test("a daemon that can reach its peers but not the log learns of a key's withdrawal", async t => {
+    // Without gossip, a daemon that cannot reach the log would accept a withdrawn key that a reachable peer refuses.
     const [log, peers, cut] = [new FakeLog(), new FakePeers(), { is: false }];
-    const near = startDaemon("vm-1", log, peers);
-    const far = startDaemon("vm-2", log, peers, () => cut.is);
-    t.deepEqual(await near.accept(FIRST), { kind: "accepted", revision: 1 });
-    await until(() => revisionOf(far) === 1);
+    const connected = startDaemon("vm-1", log, peers);
+    const cutOff = startDaemon("vm-2", log, peers, () => cut.is);
+    t.deepEqual(await connected.accept(FIRST), { kind: "accepted", revision: 1 });
+    await waitUntil(() => revisionOf(cutOff) === 1);
     cut.is = true;
-    await near.accept(WITHDRAWAL);
-    await until(() => revisionOf(far) === 2);
-    t.deepEqual([...far.current()?.withdrawnKeys.keys() ?? []], ["k1" as never]);
-    [near, far].forEach(each => each.stop());
+    await connected.accept(WITHDRAWAL);
+    await waitUntil(() => revisionOf(cutOff) === 2);
+    t.deepEqual([...cutOff.current()?.withdrawnKeys.keys() ?? []], ["k1" as never]);
+    [connected, cutOff].forEach(each => each.stop());
 });
 
-test("a lost answer: the note is in force once, and the operator is told so", async t => {
-    // The answer to an append is lost, and the operator gets a conflict with the own change.
+test("if the answer to an append is lost, the note is accepted once and reported as accepted", async t => {
+    // Appended a second time as another record, the operator's note would conflict with itself.
     const log = new FakeLog();
     const release = startDaemon("vm-1", log, new FakePeers());
     log.loseAnswers = 1;
@@ -59,7 +59,7 @@
     release.stop();
 });
 
-test("a refused append is repeated under the same id", async t => {
+test("a refused append is retried under the same id", async t => {
     const log = new FakeLog();
     const release = startDaemon("vm-1", log, new FakePeers());
     log.refuseAppends = 2;
@@ -68,28 +68,28 @@
     release.stop();
 });
 
-test("with the log down the operator is told that the note was not taken", async t => {
+test("while the log is unreachable, the outcome is not-appended", async t => {
     const release = startDaemon("vm-1", new FakeLog(), new FakePeers(), () => true);
     t.deepEqual(await release.accept(FIRST, "op-1" as RecordId), { kind: "not-appended", id: "op-1" as RecordId });
     release.stop();
 });
 
-test("with the log down a restarted daemon serves what its peers know", async t => {
+test("while the log is unreachable, a restarted daemon adopts the configuration of its peers", async t => {
     const [log, peers] = [new FakeLog(), new FakePeers()];
     const old = startDaemon("vm-1", log, peers);
     await old.accept(FIRST);
     const restarted = startDaemon("vm-2", log, peers, () => true);
-    await until(() => revisionOf(restarted) === 1);
+    await waitUntil(() => revisionOf(restarted) === 1);
     t.true(restarted.staleness() < Number.POSITIVE_INFINITY);
     [old, restarted].forEach(each => each.stop());
 });
 
-test("racing operators at two daemons: one note is accepted, the other conflicts, on both alike", async t => {
+test("of two concurrent notes one is accepted, one conflicts, and both daemons reach the same state", async t => {
     const [log, peers] = [new FakeLog(), new FakePeers()];
     const daemons = ["vm-1", "vm-2"].map(name => startDaemon(name, log, peers));
     const outcomes = await Promise.all(daemons.map(each => each.accept(FIRST)));
     t.deepEqual(outcomes.map(outcome => outcome.kind).sort(), ["accepted", "conflict"]);
-    await until(() => daemons.every(each => each.reader().fold.offset === 2));
+    await waitUntil(() => daemons.every(each => each.reader().fold.offset === 2));
     t.is(new Set(daemons.map(each => each.reader().fold.digest)).size, 1);
     daemons.forEach(each => each.stop());
 });
--- a/packages/daemon/src/__tests__/unit/stepReader.test.ts
+++ b/packages/daemon/src/__tests__/unit/stepReader.test.ts
@@ -42,7 +42,7 @@
     records,
 });
 
-/** Steps through events, one a millisecond, and notes which revisions came into force. */
+/** Applies events, one per millisecond, and collects the published revisions and the offsets of the reads. */
 const drive = (events: readonly ReaderEvent[], from: ReaderState = initialReader) =>
     events.reduce<
         { readonly state: ReaderState; readonly published: readonly number[]; readonly reads: readonly number[]; }
@@ -56,13 +56,13 @@
         { state: from, published: [], reads: [] },
     );
 
-test("a restarted daemon holds back what a lagging peer told until the log has answered", t => {
-    // A restarted daemon takes the state of a peer that was cut off, and a withdrawn key works again.
+test("a restarted daemon does not publish an outdated peer's state before the log has answered", t => {
+    // If a restarted daemon published the state of a peer that was cut off, a withdrawn key would become valid again.
     const { published } = drive([{ kind: "pulled", fold: AFTER_TWO }, page(0, 0, NOTES, 4), { kind: "started" }]);
     t.deepEqual(published, [4]);
 });
 
-test("with the log down, a restarted daemon serves the furthest of its peers' states", t => {
+test("while the log is unreachable, a restarted daemon publishes the newest of its peers' states", t => {
     const { published, state } = drive([
         { kind: "failed" },
         { kind: "pulled", fold: AFTER_FOUR },
@@ -73,8 +73,8 @@
     t.is(state.confirmedAt, undefined);
 });
 
-test("behind expired records a reader finds the snapshot and reads on where it stands", t => {
-    // A daemon starts after the log dropped the first notes. It must not fold the remaining ones onto nothing.
+test("after records expired, a reader finds the snapshot and continues at the offset that it represents", t => {
+    // A daemon that starts after the log dropped the first notes must not fold the remaining ones onto an empty state.
     const snapshot = record(5, JSON.parse(JSON.stringify(snapshotRecord(AFTER_FOUR))));
     const later = record(4, model("e"));
     const { reads, state } = drive([
@@ -86,7 +86,7 @@
     t.is(state.fold.configuration.revision, 5);
 });
 
-test("without a snapshot a reader goes on looking, confirms nothing and asks its peers for one", t => {
+test("without a snapshot a reader continues searching, confirms nothing and requests one from its peers", t => {
     const { reads, state, published } = drive([{ kind: "expired", start: 2 }, page(2, 2, NOTES.slice(2), 4)]);
     t.deepEqual(reads, [2, 4]);
     t.deepEqual(published, []);
@@ -94,15 +94,15 @@
     t.true(gossipOf(state, 9).wantsSnapshot);
 });
 
-test("a peer's older state changes nothing, and a further one moves the reads on", t => {
+test("an older state of a peer changes nothing, and a newer one advances the reads", t => {
     const caughtUp = drive([page(0, 0, NOTES, 4)]);
     t.is(drive([{ kind: "pulled", fold: AFTER_TWO }], caughtUp.state).state.fold, caughtUp.state.fold);
-    const behind = drive([page(0, 0, NOTES.slice(0, 2), 2), { kind: "pulled", fold: AFTER_FOUR }, page(2, 0, [], 4)]);
-    t.deepEqual(behind.published, [2, 4]);
-    t.is(behind.reads.at(-1), 4);
+    const outdated = drive([page(0, 0, NOTES.slice(0, 2), 2), { kind: "pulled", fold: AFTER_FOUR }, page(2, 0, [], 4)]);
+    t.deepEqual(outdated.published, [2, 4]);
+    t.is(outdated.reads.at(-1), 4);
 });
 
-test("a daemon that the log answers asks its peers for no snapshot, any other does", t => {
+test("a daemon requests snapshots from its peers only while the log does not answer", t => {
     const { state } = drive([page(0, 0, NOTES, 4)]);
     const wants = (each: ReaderState, now: number): boolean => gossipOf(each, now).wantsSnapshot === true;
     t.false(wants(state, 1_500));
@@ -111,22 +111,23 @@
     t.true(wants(initialReader, 0));
 });
 
-test("daemons that are cut off together do not vouch for each other", t => {
-    // Two daemons without the log confirm each other's revision, and the bound on staleness never takes effect.
+test("daemons that are cut off together do not confirm each other's revision", t => {
+    // If two daemons without the log confirmed each other's revision, the limit on staleness would never take effect.
     const [one, two] = [drive([page(0, 0, NOTES, 4)]).state, drive([page(0, 0, NOTES, 4)]).state];
-    const hear = (own: ReaderState, other: ReaderState, now: number): ReaderState => {
-        const told = gossipOf(other, now);
-        const at = now - told.confirmedWithinMs;
-        return stepReader(own, { kind: "confirmed", revision: told.revision, digest: told.digest, at }, now).state;
+    const receive = (own: ReaderState, other: ReaderState, now: number): ReaderState => {
+        const message = gossipOf(other, now);
+        const at = now - message.confirmedWithinMs;
+        return stepReader(own, { kind: "confirmed", revision: message.revision, digest: message.digest, at }, now)
+            .state;
     };
     const [first, second] = [1_000, 2_000, 3_000].reduce<readonly [ReaderState, ReaderState]>(
-        ([a, b], now) => [hear(a, b, now), hear(b, a, now)],
+        ([a, b], now) => [receive(a, b, now), receive(b, a, now)],
         [one, two],
     );
     t.deepEqual([first.confirmedAt, second.confirmedAt], [0, 0]);
 });
 
-test("a confirmation counts for the very state only", t => {
+test("a confirmation counts only for the same revision and digest", t => {
     const state = { ...drive([page(0, 0, NOTES, 4)]).state, confirmedAt: 1 };
     const { revision } = state.fold.configuration;
     const at = (given: { revision: number; digest: string; }): number | undefined =>
@@ -137,30 +138,40 @@
 });
 
 const CAUGHT_UP: ReaderState = { ...drive([page(0, 0, NOTES, 4)]).state, snapshotOffset: 3, snapshotAt: 100 };
-const farOn = (offset: number): ReaderState => ({
+const advancedTo = (offset: number): ReaderState => ({
     ...CAUGHT_UP,
     cursor: offset,
     fold: { ...CAUGHT_UP.fold, offset },
 });
 const DUE = [
-    { title: "a fresh one", state: CAUGHT_UP, now: 500, due: false },
-    { title: "an old one", state: CAUGHT_UP, now: 1_100, due: true },
+    { title: "not due while the newest one is recent", state: CAUGHT_UP, now: 500, due: false },
+    { title: "due when the newest one is old", state: CAUGHT_UP, now: 1_100, due: true },
     {
-        title: "one of unknown age, soon after the start",
+        title: "not due soon after the start if the newest one's age is unknown",
         state: { ...CAUGHT_UP, snapshotAt: undefined },
         now: 900,
         due: false,
     },
     {
-        title: "one of unknown age, long after the start",
+        title: "due long after the start if the newest one's age is unknown",
         state: { ...CAUGHT_UP, snapshotAt: undefined },
         now: 1_000,
         due: true,
     },
-    { title: "many records after it", state: farOn(200), now: 500, due: true },
-    { title: "it stands in the older half of the log", state: { ...farOn(20), logStart: 2 }, now: 500, due: true },
-    { title: "never confirmed", state: { ...farOn(200), confirmedAt: undefined }, now: 5_000, due: false },
-    { title: "nothing released yet", state: { ...initialReader, confirmedAt: 1 }, now: 5_000, due: false },
+    { title: "due after many records", state: advancedTo(200), now: 500, due: true },
+    {
+        title: "due if the newest one is in the older half of the log",
+        state: { ...advancedTo(20), logStart: 2 },
+        now: 500,
+        due: true,
+    },
+    {
+        title: "not due if the state was never confirmed",
+        state: { ...advancedTo(200), confirmedAt: undefined },
+        now: 5_000,
+        due: false,
+    },
+    { title: "not due before the first release", state: { ...initialReader, confirmedAt: 1 }, now: 5_000, due: false },
 ];
 
 DUE.forEach(({ title, state, now, due }) =>
--- a/packages/daemon/src/actors/runAggregate.ts
+++ b/packages/daemon/src/actors/runAggregate.ts
@@ -1,24 +1,24 @@
 import type { Millis, Step } from "@azureshunt/core";
 
-/** What `runAggregate` needs. */
+/** Parameters of `runAggregate`. */
 type AggregateParts<State, Event, Effect> = {
     readonly initial: State;
     readonly now: () => Millis;
-    /** The aggregate's rule; pure. */
+    /** The aggregate's pure transition function. */
     readonly reduce: (state: State, event: Event, now: Millis) => Step<State, Effect>;
-    /** Does what the rule asks for; must not throw. What takes time is handed to an actor. */
+    /** Performs an effect that `reduce` returned. Must not throw; slow work is handed to an actor. */
     readonly perform: (effect: Effect) => void;
 };
 
-/** An aggregate that takes events at once. */
+/** An aggregate that handles events synchronously. */
 type RunningAggregate<State, Event> = {
     readonly tell: (event: Event) => void;
     readonly state: () => State;
 };
 
 /**
- * Runs a pure aggregate in place: `tell` returns after the effects were begun. For aggregates that a request has to wait
- * for, where the way through an actor's mailbox would cost more than the decision.
+ * Runs a pure aggregate synchronously: when the call that applies an event returns, the effects have been started. For
+ * aggregates that requests wait for, where passing through an actor's mailbox would take longer than the decision.
  */
 export function runAggregate<State, Event, Effect>(
     parts: AggregateParts<State, Event, Effect>,
--- a/packages/daemon/src/actors/spawnAggregate.ts
+++ b/packages/daemon/src/actors/spawnAggregate.ts
@@ -4,25 +4,25 @@
 
 /** An aggregate that runs as an actor. */
 type Aggregate<State, Event> = {
-    /** Hands an event to the aggregate; events are taken one at a time, in order. */
+    /** Queues an event for the aggregate; events are handled one at a time, in order. */
     readonly tell: (event: Event) => void;
-    /** The state after the events taken so far. Immutable. */
+    /** Returns the immutable state after the events handled so far. */
     readonly state: () => State;
     readonly stop: () => void;
 };
 
-/** What `spawnAggregate` needs to run an aggregate. */
+/** Parameters of `spawnAggregate`. */
 type AggregateParts<State, Event, Effect> = {
     readonly name: string;
     readonly initial: State;
     readonly now: () => Millis;
-    /** The aggregate's rule; pure. */
+    /** The aggregate's pure transition function. */
     readonly reduce: (state: State, event: Event, now: Millis) => Step<State, Effect>;
-    /** Does what the rule asks for; must not throw. `tell` brings results back as events. */
-    readonly perform: (effect: Effect, tell: (event: Event) => void) => void;
+    /** Performs an effect that `reduce` returned. Must not throw; the callback queues results as events. */
+    readonly perform: (effect: Effect, apply: (event: Event) => void) => void;
 };
 
-/** Runs a pure aggregate as an actor of the given system, performing the effects of each event. */
+/** Runs a pure aggregate as an actor of the given system and performs the effects of each event. */
 export function spawnAggregate<State, Event, Effect>(
     system: ActorSystemRef,
     parts: AggregateParts<State, Event, Effect>,
--- a/packages/daemon/src/admin/AdminAnswer.ts
+++ b/packages/daemon/src/admin/AdminAnswer.ts
@@ -1,4 +1,4 @@
-/** What a call of the administration API is answered; the body goes out as JSON. */
+/** Answer to a call of the administration API. The body is sent as JSON. */
 export type AdminAnswer = {
     readonly status: number;
     readonly body: unknown;
--- a/packages/daemon/src/admin/AdminCall.ts
+++ b/packages/daemon/src/admin/AdminCall.ts
@@ -1,13 +1,13 @@
 import type { KeyId } from "@azureshunt/core";
 
-/** One call of the administration API, its key checked. */
+/** An authenticated call of the administration API. */
 export type AdminCall = {
-    /** Parts of the path, by the names that the route gives them; decoded. */
+    /** Decoded path parameters by the names in the route's path. */
     readonly params: Readonly<Record<string, string>>;
     readonly query: URLSearchParams;
-    /** Header of that name; an id that makes a repetition of the call harmless. */
+    /** Value of the `idempotency-key` header: an id that makes repeating the call harmless. */
     readonly idempotencyKey: string | undefined;
     readonly body: Buffer;
-    /** Which administration key was shown. */
+    /** Id of the administration key that authenticated the call. */
     readonly keyId: KeyId;
 };
--- a/packages/daemon/src/admin/AdminParts.ts
+++ b/packages/daemon/src/admin/AdminParts.ts
@@ -6,12 +6,12 @@
 import type { DaemonContext } from "../ports/DaemonContext.js";
 import type { TracePort } from "../ports/TracePort.js";
 
-/** What the administration listener shows and changes. */
+/** Parts of the daemon that the administration API reads and changes. */
 export type AdminParts = {
     readonly ctx: DaemonContext;
     readonly release: ReturnType<typeof createReleasePort>;
     readonly allowance: AllowancePort & {
-        /** What this VM knows of an organisation's allowance. */
+        /** Returns the state of an organisation's allowance on this VM, `undefined` if there is none. */
         readonly inspect?: (organisation: OrganisationId) => object | undefined;
     };
     readonly placement: Pick<ReturnType<typeof createPlacementPort>, "inspect" | "explain">;
--- a/packages/daemon/src/admin/AdminRoute.ts
+++ b/packages/daemon/src/admin/AdminRoute.ts
@@ -6,13 +6,13 @@
 import type { AdminCall } from "./AdminCall.js";
 import type { AdminParts } from "./AdminParts.js";
 
-/** One operation of the administration API, with all that its OpenAPI description needs. */
+/** One operation of the administration API, with what its OpenAPI description is generated from. */
 export type AdminRoute = {
     readonly method: "GET" | "POST" | "DELETE";
-    /** Path with named parts in braces, such as `/admin/v1/keys/{id}`. */
+    /** Path with parameters in braces, such as `/admin/v1/keys/{id}`. */
     readonly path: string;
     readonly summary: string;
-    /** Names of the query's parameters and what they do. */
+    /** Descriptions of the query parameters by name. */
     readonly query?: Readonly<Record<string, string>>;
     readonly body?: z.ZodTypeAny;
     readonly answer: z.ZodTypeAny;
--- a/packages/daemon/src/admin/adminRoutes.ts
+++ b/packages/daemon/src/admin/adminRoutes.ts
@@ -3,7 +3,6 @@
 import { z } from "zod";
 
 import type { AdminRoute } from "./AdminRoute.js";
-import { fleetStatus } from "./fleetStatus.js";
 import { giveKey, KeyRequest } from "./giveKey.js";
 import { ok } from "./ok.js";
 import { postRelease } from "./postRelease.js";
@@ -11,6 +10,7 @@
 import { showRelease } from "./showRelease.js";
 import { showRequest } from "./showRequest.js";
 import { showStatus } from "./showStatus.js";
+import { vmStatuses } from "./vmStatuses.js";
 import { withdrawKey } from "./withdrawKey.js";
 
 const ListedKey = z.object({
@@ -147,7 +147,7 @@
         path: "/admin/v1/vms",
         summary: "List the VMs and the revision that each has in force.",
         answer: z.object({ vms: z.array(VmStatus) }),
-        handle: async parts => ok({ vms: await fleetStatus(parts) }),
+        handle: async parts => ok({ vms: await vmStatuses(parts) }),
     },
     {
         method: "GET",
--- a/packages/daemon/src/admin/findRoute.ts
+++ b/packages/daemon/src/admin/findRoute.ts
@@ -4,8 +4,8 @@
 import type { AdminRoute } from "./AdminRoute.js";
 import { adminRoutes } from "./adminRoutes.js";
 
-/** A route that matches a request, with the named parts of its path. */
-type FoundRoute = {
+/** A route that matches a request, with the values of its path parameters. */
+type MatchedRoute = {
     readonly route: AdminRoute;
     readonly params: Readonly<Record<string, string>>;
 };
@@ -20,18 +20,20 @@
 };
 
 const paramsOf = (pattern: string, path: string): Readonly<Record<string, string>> | undefined => {
-    const [wanted, found] = [pattern.split("/"), path.split("/").map(decoded)];
-    const isMatch = wanted.length === found.length
-        && wanted.every((part, i) => part.startsWith("{") ? Boolean(found[i]) : part === found[i]);
+    const [patternParts, found] = [pattern.split("/"), path.split("/").map(decoded)];
+    const isMatch = patternParts.length === found.length
+        && patternParts.every((part, i) => part.startsWith("{") ? Boolean(found[i]) : part === found[i]);
     if (!isMatch) {
         return undefined;
     }
-    const named = wanted.flatMap((part, i) => part.startsWith("{") ? [[part.slice(1, -1), found[i] ?? ""]] : []);
-    return Object.fromEntries(named) as Record<string, string>;
+    const entries = patternParts.flatMap((part, i) =>
+        part.startsWith("{") ? [[part.slice(1, -1), found[i] ?? ""]] : []
+    );
+    return Object.fromEntries(entries) as Record<string, string>;
 };
 
-/** Finds the route of a request: Left with `not-found`, or `method-not-allowed` where only the method is wrong. */
-export function findRoute(method: string, path: string): Either<Refusal, FoundRoute> {
+/** Finds the route of a request; Left `method-not-allowed` if another method has that path, else `not-found`. */
+export function findRoute(method: string, path: string): Either<Refusal, MatchedRoute> {
     const matches = adminRoutes.flatMap(route => {
         const params = paramsOf(route.path, path);
         return params === undefined ? [] : [{ route, params }];
--- a/packages/daemon/src/admin/giveKey.ts
+++ b/packages/daemon/src/admin/giveKey.ts
@@ -10,21 +10,21 @@
 import type { AdminAnswer } from "./AdminAnswer.js";
 import type { AdminCall } from "./AdminCall.js";
 import type { AdminParts } from "./AdminParts.js";
-import { knownConfiguration } from "./knownConfiguration.js";
 import { verdictAnswer } from "./verdictAnswer.js";
+import { waitForConfiguration } from "./waitForConfiguration.js";
 
 const KEY_BYTES = 32;
 
-/** What a new key is to be: an administrator's when no organisation is named. */
+/** Request for a new key: an administration key if `organisation` is undefined, else a key of its callers. */
 const KeyRequest = z.strictObject({
     id: KeyId.optional(),
     organisation: OrganisationId.optional(),
 });
 
-/** Makes a key and releases its digest. The key is in this answer only, and only when it was accepted. */
+/** Creates a key and releases its digest. The key is only ever in this answer, and only if the note was accepted. */
 async function giveKey(parts: AdminParts, call: AdminCall): Promise<Either<Refusal, AdminAnswer>> {
     const request = parseJson(KeyRequest, call.body);
-    const cfg = await knownConfiguration(parts);
+    const cfg = await waitForConfiguration(parts);
     if (request.isLeft() || cfg.isLeft()) {
         return Left((request.isLeft() ? request : cfg).extract() as Refusal);
     }
--- a/packages/daemon/src/admin/ok.ts
+++ b/packages/daemon/src/admin/ok.ts
@@ -4,7 +4,7 @@
 
 import type { AdminAnswer } from "./AdminAnswer.js";
 
-/** Answers a call with 200. */
+/** Returns an answer with status 200. */
 export function ok(body: unknown): Either<Refusal, AdminAnswer> {
     return Right({ status: 200, body });
 }
--- a/packages/daemon/src/admin/openApi.ts
+++ b/packages/daemon/src/admin/openApi.ts
@@ -49,7 +49,7 @@
     },
 });
 
-/** Describes the administration API; generated from its routes. `scripts/generateSchemas.mjs` writes it to `openapi/`. */
+/** Generates the OpenAPI document from the routes. `scripts/generateSchemas.mjs` writes it to `openapi/`. */
 export function openApi(): object {
     const paths = [...new Set(adminRoutes.map(route => route.path))].map(path => {
         const operations = adminRoutes
--- a/packages/daemon/src/admin/postRelease.ts
+++ b/packages/daemon/src/admin/postRelease.ts
@@ -14,9 +14,9 @@
 import type { AdminAnswer } from "./AdminAnswer.js";
 import type { AdminCall } from "./AdminCall.js";
 import type { AdminParts } from "./AdminParts.js";
-import { knownConfiguration } from "./knownConfiguration.js";
 import { ok } from "./ok.js";
 import { verdictAnswer } from "./verdictAnswer.js";
+import { waitForConfiguration } from "./waitForConfiguration.js";
 
 const STATUS_INVALID = 400;
 
@@ -39,13 +39,13 @@
     return parsed.success ? Right(parsed.data) : Left(refusalOf("bad-request", "idempotency-key: not an id"));
 };
 
-/** The base that the caller saw the difference against stands in for one that the note does not name. */
+/** Returns the note's base revision, else that of the query: the revision the caller saw the difference against. */
 const baseOf = (call: AdminCall, note: ReleaseNote): number | undefined => {
-    const given = call.query.get("base");
-    return note.base ?? (given !== null && /^\d+$/.test(given) ? Number(given) : undefined);
+    const baseText = call.query.get("base");
+    return note.base ?? (baseText !== null && /^\d+$/.test(baseText) ? Number(baseText) : undefined);
 };
 
-const release = async (
+const checkAndAppend = async (
     parts: AdminParts,
     call: AdminCall,
     cfg: Configuration,
@@ -72,14 +72,14 @@
         : verdictAnswer(await parts.release.accept(note, id.extract() as RecordId | undefined));
 };
 
-/** Checks a release note and, unless it is a dry run, appends it and tells what became of it. */
+/** Validates a release note and, unless it is a dry run, appends it and answers with the outcome. */
 export async function postRelease(parts: AdminParts, call: AdminCall): Promise<Either<Refusal, AdminAnswer>> {
     const parsed = parseReleaseNote(call.body.toString("utf8"));
     if (parsed.isLeft()) {
         return invalid(parsed.extract() as readonly LocatedFault[]);
     }
-    const cfg = await knownConfiguration(parts);
+    const cfg = await waitForConfiguration(parts);
     return cfg.isLeft()
         ? Left(cfg.extract() as Refusal)
-        : await release(parts, call, cfg.extract() as Configuration, parsed.extract() as Parsed);
+        : await checkAndAppend(parts, call, cfg.extract() as Configuration, parsed.extract() as Parsed);
 }
--- a/packages/daemon/src/admin/showOrganisation.ts
+++ b/packages/daemon/src/admin/showOrganisation.ts
@@ -6,7 +6,7 @@
 import type { AdminParts } from "./AdminParts.js";
 import { ok } from "./ok.js";
 
-/** Shows an organisation as declared, its keys' ids, and its allowance as this VM knows it. */
+/** Shows an organisation's declaration, the ids of its keys, and the state of its allowance on this VM. */
 export function showOrganisation(parts: AdminParts, call: AdminCall): Promise<Either<Refusal, AdminAnswer>> {
     const { configuration } = parts.release.reader().fold;
     const id = OrganisationId.safeParse(call.params["id"]);
--- a/packages/daemon/src/admin/showRelease.ts
+++ b/packages/daemon/src/admin/showRelease.ts
@@ -9,7 +9,7 @@
 
 const READ_MS = 2_000;
 
-/** Shows an accepted release, with its note as long as the log keeps the record. */
+/** Shows an accepted release, including its note while the log still has the record. */
 export async function showRelease(parts: AdminParts, call: AdminCall): Promise<Either<Refusal, AdminAnswer>> {
     const { release, ctx } = parts;
     const summary = release.reader().fold.releases.find(each => String(each.revision) === call.params["revision"]);
--- a/packages/daemon/src/admin/showRequest.ts
+++ b/packages/daemon/src/admin/showRequest.ts
@@ -6,7 +6,7 @@
 import type { AdminParts } from "./AdminParts.js";
 import { ok } from "./ok.js";
 
-/** Shows what happened to a request that this daemon remembers, and the choices that were made for it. */
+/** Shows the events and placement choices of a request, if this daemon still has them in memory. */
 export function showRequest(parts: AdminParts, call: AdminCall): Promise<Either<Refusal, AdminAnswer>> {
     const id = RequestId.safeParse(call.params["id"]);
     const events = id.success ? parts.trace.get(id.data) : undefined;
--- a/packages/daemon/src/admin/showStatus.ts
+++ b/packages/daemon/src/admin/showStatus.ts
@@ -4,10 +4,10 @@
 import type { AdminAnswer } from "./AdminAnswer.js";
 import type { AdminCall } from "./AdminCall.js";
 import type { AdminParts } from "./AdminParts.js";
-import { fleetStatus } from "./fleetStatus.js";
 import { ok } from "./ok.js";
+import { vmStatuses } from "./vmStatuses.js";
 
-/** Shows the revision in force here and, for `fleet=1`, which VMs and failure domains have it in force. */
+/** Shows the revision in force on this VM and, with `fleet=1`, which VMs and failure domains have it in force. */
 export async function showStatus(parts: AdminParts, call: AdminCall): Promise<Either<Refusal, AdminAnswer>> {
     const { ctx, release } = parts;
     const { vm, failureDomain } = ctx.settings;
@@ -24,7 +24,7 @@
     if (call.query.get("fleet") !== "1") {
         return ok(own);
     }
-    const vms = (await fleetStatus(parts)).map(each => ({ ...each, inForce: (each.revision ?? -1) >= revision }));
+    const vms = (await vmStatuses(parts)).map(each => ({ ...each, inForce: (each.revision ?? -1) >= revision }));
     const failureDomains = [...new Set(vms.map(each => each.failureDomain))].sort().map(name => {
         const inDomain = vms.filter(each => each.failureDomain === name);
         const confirmed = inDomain.filter(each => each.inForce).length;
--- a/packages/daemon/src/admin/startAdminListener.ts
+++ b/packages/daemon/src/admin/startAdminListener.ts
@@ -27,8 +27,8 @@
 /**
  * Starts the administration listener: health, metrics, and the API under `/admin/v1`.
  *
- * @returns with the port that was bound, for settings that leave the choice to the system
- * @throws Error when the address cannot be bound
+ * @returns with the bound port, for settings with port 0, where the system chooses it
+ * @throws Error if the address cannot be bound
  */
 export async function startAdminListener(parts: AdminParts): Promise<Stopping & { readonly port: number; }> {
     const { ctx, release } = parts;
@@ -54,7 +54,7 @@
             const header = req.headers["idempotency-key"];
             const idempotencyKey = typeof header === "string" ? header : undefined;
             if (route.method !== "GET") {
-                logger.info({ keyId, method: route.method, path: url.pathname }, "Change asked for.");
+                logger.info({ keyId, method: route.method, path: url.pathname }, "Administrator requested a change.");
             }
             return await fromPromise(
                 route.handle(parts, { params, query: url.searchParams, idempotencyKey, body, keyId }),
@@ -77,7 +77,7 @@
         }
         (await answer(req, url)).caseOf({
             Left: refused => {
-                // A handler that throws ends here as well; that is a fault of the daemon, and no refusal.
+                // A handler that throws also ends here; that is an internal error, not a refusal.
                 if (refused instanceof Error) {
                     throw refused;
                 }
@@ -93,14 +93,14 @@
         limits: settings.limits,
         handler: (req, res) => {
             serve(req, res).catch((err: unknown) => {
-                logger.error({ err }, "Request failed.");
+                logger.error({ err }, "Admin request failed: internal error.");
                 refuse(res, refusalOf("internal"));
             });
         },
     });
-    const bound = server.address();
+    const boundAddress = server.address();
     return {
-        port: typeof bound === "object" ? bound?.port ?? 0 : 0,
+        port: typeof boundAddress === "object" ? boundAddress?.port ?? 0 : 0,
         stop: () => {
             server.close();
             server.closeAllConnections();
--- a/packages/daemon/src/admin/verdictAnswer.ts
+++ b/packages/daemon/src/admin/verdictAnswer.ts
@@ -13,7 +13,7 @@
     "not-known": 504,
 };
 
-/** Answers a change of the configuration with what became of it; `more` goes beside the outcome. */
-export function verdictAnswer(outcome: AcceptOutcome, more: object = {}): Either<Refusal, AdminAnswer> {
-    return Right({ status: STATUS[outcome.kind], body: { ...more, ...outcome } });
+/** Returns the answer to a change of the configuration: its outcome, with `extraFields` in the same object. */
+export function verdictAnswer(outcome: AcceptOutcome, extraFields: object = {}): Either<Refusal, AdminAnswer> {
+    return Right({ status: STATUS[outcome.kind], body: { ...extraFields, ...outcome } });
 }
--- a/packages/daemon/src/admin/fleetStatus.ts
+++ b/packages/daemon/src/admin/vmStatuses.ts
@@ -6,19 +6,19 @@
 
 const TIMEOUT_MS = 1_000;
 
-/** The revision that one VM has in force, as it said just now. */
+/** The revision in force on one VM, as queried for this call. */
 type VmStatus = {
     readonly vm: VmId;
     readonly failureDomain: FailureDomain;
     readonly state: "live" | "leaving";
-    /** Undefined when it did not answer. */
+    /** `undefined` if the VM did not answer. */
     readonly revision: number | undefined;
-    /** Milliseconds since the log confirmed it there; undefined when it never did. */
+    /** Milliseconds since the log last confirmed it to that VM as the newest; `undefined` if it never did. */
     readonly confirmedMsAgo: number | undefined;
 };
 
-/** Asks all VMs at once which revision they have in force. */
-export async function fleetStatus({ ctx, release }: AdminParts): Promise<readonly VmStatus[]> {
+/** Queries all VMs in parallel for the revision that they have in force. */
+export async function vmStatuses({ ctx, release }: AdminParts): Promise<readonly VmStatus[]> {
     const own = { ...gossipOf(release.reader(), ctx.clock.now()), wantsSnapshot: false };
     const answerOf = async (vm: VmId): Promise<GossipMessage | undefined> => {
         if (vm === ctx.settings.vm) {
@@ -30,13 +30,13 @@
     return await Promise.all(
         ctx.membership.members().map(async ({ vm, failureDomain, state }) => {
             const answer = await answerOf(vm);
-            const within = answer?.confirmedWithinMs ?? 0;
+            const confirmedWithinMs = answer?.confirmedWithinMs ?? 0;
             return {
                 vm,
                 failureDomain,
                 state,
                 revision: answer?.revision,
-                confirmedMsAgo: within > 0 ? within : undefined,
+                confirmedMsAgo: confirmedWithinMs > 0 ? confirmedWithinMs : undefined,
             };
         }),
     );
--- a/packages/daemon/src/admin/knownConfiguration.ts
+++ b/packages/daemon/src/admin/waitForConfiguration.ts
@@ -8,12 +8,12 @@
 const POLL_MS = 20;
 
 /**
- * Gives the configuration that a change is checked against: the empty one before the first release note, once the log
- * has confirmed that there is none.
+ * Waits until the configuration that a change is validated against is known, for at most `START_WAIT_MS`.
  *
- * @returns Left with `no-configuration` when neither log nor peers have told one
+ * @returns the configuration, which is empty if the log has confirmed that there is no release note yet; Left with
+ *     `no-configuration` if neither the log nor a peer has provided one
  */
-export async function knownConfiguration({ ctx, release }: AdminParts): Promise<Either<Refusal, Configuration>> {
+export async function waitForConfiguration({ ctx, release }: AdminParts): Promise<Either<Refusal, Configuration>> {
     const isKnown = (): boolean => release.current() !== undefined || release.reader().confirmedAt !== undefined;
     const giveUpAt = ctx.clock.now() + START_WAIT_MS;
     while (!isKnown() && ctx.clock.now() < giveUpAt) {
--- a/packages/daemon/src/configuration/GossipMessage.ts
+++ b/packages/daemon/src/configuration/GossipMessage.ts
@@ -1,11 +1,11 @@
-/** A gossip message or its answer, as `peers.proto` has it. */
+/** A gossip message or its answer; see `Gossip` and `GossipAnswer` in `peers.proto`. */
 export type GossipMessage = {
     readonly revision: number;
     readonly offset: number;
     readonly digest: string;
-    /** 0 when it is not known. */
+    /** 0 if unknown. */
     readonly confirmedWithinMs: number;
     readonly wantsSnapshot?: boolean;
-    /** JSON of a snapshot; empty when there is none. */
+    /** JSON of a snapshot; empty if there is none. */
     readonly snapshot?: string;
 };
--- a/packages/daemon/src/configuration/ReaderEffect.ts
+++ b/packages/daemon/src/configuration/ReaderEffect.ts
@@ -1,10 +1,10 @@
 import type { Configuration, ConfigurationState } from "@azureshunt/release";
 
-/** What the reader asks for. */
+/** Side effects that `stepReader` requests. */
 export type ReaderEffect =
-    /** Read the log; the answer comes back as `page`, `expired` or `failed`. One read runs at a time. */
+    /** Read the log; the result is the event `page`, `expired` or `failed`. Only one read runs at a time. */
     | { readonly kind: "read"; readonly from: number; readonly waitMs: number; readonly failures: number; }
-    /** More records are folded: whoever waits for one may look. */
+    /** More records were folded: calls that wait for the verdict on a record check for it. */
     | { readonly kind: "advanced"; readonly fold: ConfigurationState; }
-    /** A newer configuration is in force here. */
+    /** A newer configuration is in force on this daemon. */
     | { readonly kind: "publish"; readonly configuration: Configuration; };
--- a/packages/daemon/src/configuration/createReleasePort.ts
+++ b/packages/daemon/src/configuration/createReleasePort.ts
@@ -17,34 +17,34 @@
 import { startSnapshots } from "./startSnapshots.js";
 import { stepReader } from "./stepReader.js";
 
-const PAGE = 256;
+const PAGE_RECORDS = 256;
 const BACKOFF_MS = 100;
 const MAX_BACKOFF_MS = 2_000;
-const START_BOUND_MS = 1_000;
+const START_TIMEOUT_MS = 1_000;
 
 type Listener = (cfg: Configuration) => void;
 type Waiter = { readonly id: RecordId; readonly settle: (verdict: Verdict | undefined) => void; };
 
-/** The configuration on this daemon, and the way to change it. */
+/** The configuration in force on this daemon, with the operation that changes it. */
 type Release = ReleasePort & {
-    /** How far the stream is folded, and what is known about it; for status and gossip. */
+    /** State of the stream's reader, for status and gossip. */
     readonly reader: () => ReaderState;
-    /** Appends a note under a record id, a fresh one unless given, and tells what became of it. */
+    /** Appends a note under a record id, by default a new one, and returns the outcome. */
     readonly accept: (note: ReleaseNote, id?: RecordId) => Promise<AcceptOutcome>;
     readonly stop: () => void;
 };
 
 /**
- * Follows the configuration stream of the platform's log, exchanges it with peers and appends release notes to it.
+ * Follows the configuration stream of the platform's log, exchanges its state with peers, and appends release notes.
  *
- * @param ctx all but the port itself
+ * @param ctx the daemon's context without the port created here
  */
 export function createReleasePort(ctx: Omit<DaemonContext, "release">): Release {
     const { clock, log, random, metrics } = ctx;
     const logger = ctx.logger("configuration");
     const listeners = new Set<Listener>();
     const waiters = new Set<Waiter>();
-    const stopped = new AbortController();
+    const stopController = new AbortController();
 
     const read = async (effect: Extract<ReaderEffect, { kind: "read"; }>): Promise<ReaderEvent> => {
         const { from, waitMs, failures } = effect;
@@ -52,7 +52,7 @@
             const backoff = Math.min(MAX_BACKOFF_MS, BACKOFF_MS * 2 ** Math.min(failures, 10));
             await new Promise(resolve => setTimeout(resolve, backoff * (0.5 + random() / 2)));
         }
-        const page = await log.read(configurationStream, from, PAGE, waitMs, stopped.signal);
+        const page = await log.read(configurationStream, from, PAGE_RECORDS, waitMs, stopController.signal);
         return page.caseOf<ReaderEvent>({
             Left: failure =>
                 failure.kind === "expired" ? { kind: "expired", start: failure.start } : { kind: "failed" },
@@ -80,10 +80,10 @@
         listeners.forEach(listener => listener(configuration));
     };
 
-    const perform = (effect: ReaderEffect, tell: (event: ReaderEvent) => void): void => {
+    const perform = (effect: ReaderEffect, apply: (event: ReaderEvent) => void): void => {
         switch (effect.kind) {
             case "read":
-                void read(effect).then(event => stopped.signal.aborted || tell(event));
+                void read(effect).then(event => stopController.signal.aborted || apply(event));
                 return;
             case "advanced":
                 settle(effect.fold);
@@ -102,12 +102,12 @@
     });
     perform({ kind: "read", from: 0, waitMs: 0, failures: 0 }, reader.tell);
 
-    const gossip = startGossip({ ctx, state: reader.state, tell: reader.tell });
+    const gossip = startGossip({ ctx, state: reader.state, apply: reader.tell });
     const snapshots = startSnapshots(ctx, reader.state);
-    const started = (): void => reader.tell({ kind: "started" });
-    const startBound = setTimeout(started, START_BOUND_MS);
+    const endStart = (): void => reader.tell({ kind: "started" });
+    const startTimer = setTimeout(endStart, START_TIMEOUT_MS);
     const hasConfiguration = (): boolean => reader.state().fold.configuration.revision > 0;
-    void gossip.askedAll.then(() => hasConfiguration() && started());
+    void gossip.firstRound.then(() => hasConfiguration() && endStart());
 
     const verdictOf = (id: RecordId, waitMs: number): Promise<Verdict | undefined> => {
         const known = reader.state().fold.recent.get(id);
@@ -150,8 +150,8 @@
             return () => void listeners.delete(onChange);
         },
         stop: () => {
-            clearTimeout(startBound);
-            stopped.abort();
+            clearTimeout(startTimer);
+            stopController.abort();
             void gossip.stop();
             void snapshots.stop();
             reader.stop();
--- a/packages/daemon/src/configuration/gossipOf.ts
+++ b/packages/daemon/src/configuration/gossipOf.ts
@@ -4,7 +4,7 @@
 import { needsPeers } from "./needsPeers.js";
 import type { ReaderState } from "./ReaderState.js";
 
-/** Tells peers what this daemon knows. */
+/** Builds the gossip message that describes this daemon's configuration. */
 export function gossipOf(state: ReaderState, now: Millis): GossipMessage {
     const { fold, confirmedAt } = state;
     return {
--- a/packages/daemon/src/configuration/initialReader.ts
+++ b/packages/daemon/src/configuration/initialReader.ts
@@ -2,7 +2,7 @@
 
 import type { ReaderState } from "./ReaderState.js";
 
-/** The reader at the start of a daemon, which keeps nothing. */
+/** State of the reader when a daemon starts; nothing is kept across restarts. */
 const initialReader: ReaderState = {
     fold: initialState,
     cursor: 0,
--- a/packages/daemon/src/configuration/startGossip.ts
+++ b/packages/daemon/src/configuration/startGossip.ts
@@ -14,11 +14,11 @@
 const START_FANOUT = 5;
 const TIMEOUT_MS = 900;
 
-/** What gossip works on. */
+/** Dependencies of `startGossip`. */
 type GossipParts = {
     readonly ctx: Omit<DaemonContext, "release">;
     readonly state: () => ReaderState;
-    readonly tell: (event: ReaderEvent) => void;
+    readonly apply: (event: ReaderEvent) => void;
 };
 
 const parsed = (text: string): unknown => {
@@ -31,72 +31,79 @@
 };
 
 /**
- * Tells a few peers each second which revision is served here and takes over what they know beyond it.
+ * Sends this daemon's revision to a few random peers every second and adopts newer states from their answers.
  *
- * Failure: a failure domain is cut off from the platform while a key is withdrawn elsewhere; its daemons would serve
- * the key on. The guard: whoever is still reached by one daemon that knows the withdrawal pulls it from that daemon.
- * Only what the log confirmed counts as confirmation, so daemons that are cut off together do not vouch for each other.
+ * If a failure domain loses its connection to the platform while a key is withdrawn elsewhere, its daemons would still
+ * accept the key. To prevent this, a daemon that can reach a peer with the withdrawal pulls the state from that peer.
+ * Only the log can confirm that a revision is the newest, so daemons that are disconnected together cannot confirm it
+ * to each other.
+ *
+ * @returns with `firstRound`, which resolves when the peers queried at the start have answered or timed out
  */
-export function startGossip(parts: GossipParts): Stopping & { readonly askedAll: Promise<void>; } {
-    const { ctx, state, tell } = parts;
+export function startGossip(parts: GossipParts): Stopping & { readonly firstRound: Promise<void>; } {
+    const { ctx, state, apply } = parts;
     const { peers, clock, random, metrics } = ctx;
     const logger = ctx.logger("configuration");
-    const pulling = new Set<VmId>();
+    const querying = new Set<VmId>();
 
-    const learn = (from: VmId, message: GossipMessage, askedAt: Millis): void => {
+    const applyMessage = (from: VmId, message: GossipMessage, requestedAt: Millis): void => {
         const { configuration, digest } = state().fold;
         if (message.snapshot !== undefined && message.snapshot !== "") {
             const fold = stateOfSnapshot(parsed(message.snapshot));
-            (fold === undefined ? [] : [fold]).forEach(each => tell({ kind: "pulled", fold: each }));
+            (fold === undefined ? [] : [fold]).forEach(each => apply({ kind: "pulled", fold: each }));
         }
         if (message.confirmedWithinMs > 0) {
-            const at = askedAt - message.confirmedWithinMs;
-            tell({ kind: "confirmed", revision: message.revision, digest: message.digest, at });
+            const at = requestedAt - message.confirmedWithinMs;
+            apply({ kind: "confirmed", revision: message.revision, digest: message.digest, at });
         }
         if (message.revision === configuration.revision && message.digest !== digest) {
             metrics.count("azureshunt_configuration_divergence_total", "Peers that differ at the same revision");
-            logger.error({ peer: from, revision: message.revision }, "A peer differs at the same revision.");
+            logger.error(
+                { peer: from, revision: message.revision },
+                "A peer has another configuration digest at the same revision.",
+            );
         }
     };
 
-    const ask = async (to: VmId): Promise<void> => {
-        if (pulling.has(to)) {
+    const query = async (to: VmId): Promise<void> => {
+        if (querying.has(to)) {
             return;
         }
-        pulling.add(to);
-        const askedAt = clock.now();
-        const answer = await peers.exchange(to, "gossip", gossipOf(state(), askedAt), TIMEOUT_MS);
-        pulling.delete(to);
-        answer.ifRight(body => learn(to, body as GossipMessage, askedAt));
+        querying.add(to);
+        const requestedAt = clock.now();
+        const answer = await peers.exchange(to, "gossip", gossipOf(state(), requestedAt), TIMEOUT_MS);
+        querying.delete(to);
+        answer.ifRight(body => applyMessage(to, body as GossipMessage, requestedAt));
     };
 
-    const someOf = (count: number): readonly VmId[] =>
+    const randomPeers = (count: number): readonly VmId[] =>
         peers.peers()
             .map(peer => ({ vm: peer.vm, rank: random() }))
             .sort((a, b) => a.rank - b.rank)
             .slice(0, count)
             .map(entry => entry.vm);
 
-    const forget = peers.handle("gossip", (body, from) => {
-        const heard = body as GossipMessage;
+    const unregister = peers.handle("gossip", (body, from) => {
+        const received = body as GossipMessage;
         const now = clock.now();
         const own = state();
         const { revision } = own.fold.configuration;
-        if (heard.revision > revision && needsPeers(own, now)) {
-            void ask(from);
+        if (received.revision > revision && needsPeers(own, now)) {
+            void query(from);
         }
-        // How long the message was on its way is not known, but no more than the asker waits for an answer.
-        learn(from, { ...heard, snapshot: "" }, now - TIMEOUT_MS);
-        const isHelped = heard.wantsSnapshot === true && heard.offset < own.fold.offset && heard.revision <= revision;
-        const snapshot = isHelped ? JSON.stringify(snapshotRecord(own.fold)) : "";
+        // The transit time of the message is unknown, but at most the time that its sender waits for an answer.
+        applyMessage(from, { ...received, snapshot: "" }, now - TIMEOUT_MS);
+        const sendsSnapshot = received.wantsSnapshot === true && received.offset < own.fold.offset
+            && received.revision <= revision;
+        const snapshot = sendsSnapshot ? JSON.stringify(snapshotRecord(own.fold)) : "";
         return Promise.resolve({ ...gossipOf(own, now), snapshot });
     });
 
-    const round = (count: number): Promise<void> => Promise.all(someOf(count).map(ask)).then(() => undefined);
+    const round = (count: number): Promise<void> => Promise.all(randomPeers(count).map(query)).then(() => undefined);
     const timer = setInterval(() => void round(FANOUT), INTERVAL_MS);
     const stop = (): void => {
         clearInterval(timer);
-        forget();
+        unregister();
     };
-    return { stop, askedAll: round(START_FANOUT) };
+    return { stop, firstRound: round(START_FANOUT) };
 }
--- a/packages/daemon/src/configuration/startSnapshots.ts
+++ b/packages/daemon/src/configuration/startSnapshots.ts
@@ -11,19 +11,20 @@
 import type { ReaderState } from "./ReaderState.js";
 
 const CHECK_MS = 1_000;
-/** Time that each daemon leaves to the one before it in the order. */
+/** Time that each daemon waits for the one before it in the order to append the snapshot. */
 const TURN_MS = 3_000;
 
 /**
- * Appends the configuration anew before the log drops it. The daemons take turns in an order that depends on the
- * revision's offset; each waits for those before it, so that usually one appends. A second copy is harmless.
+ * Appends a snapshot of the configuration before the log drops the records that it is folded from. The order of the
+ * daemons depends on the offset of the newest snapshot. Each waits for those before it, so usually only one appends. A
+ * second copy is harmless.
  */
 export function startSnapshots(ctx: Omit<DaemonContext, "release">, state: () => ReaderState): Stopping {
     const { clock, log, membership, random, settings } = ctx;
-    const since = clock.now();
-    const wait: { dueAt: number | undefined; } = { dueAt: undefined };
+    const startedAt = clock.now();
+    const turn: { dueAt: number | undefined; } = { dueAt: undefined };
 
-    const turnMs = (): number => {
+    const turnDelayMs = (): number => {
         const vms = membership.members().map(member => member.vm);
         const order = rendezvousOrder(`snapshot ${state().snapshotOffset}`, vms);
         return Math.max(order.indexOf(settings.vm), 0) * TURN_MS + random() * TURN_MS;
@@ -38,14 +39,14 @@
 
     const check = (): void => {
         const now = clock.now();
-        if (!isSnapshotDue(state(), now, since, settings.platform.snapshotEveryMs)) {
-            wait.dueAt = undefined;
+        if (!isSnapshotDue(state(), now, startedAt, settings.platform.snapshotEveryMs)) {
+            turn.dueAt = undefined;
             return;
         }
-        wait.dueAt ??= now + turnMs();
-        if (now >= wait.dueAt) {
-            // The next try is a whole turn away, so that the record is seen in the log before another one is written.
-            wait.dueAt = now + TURN_MS;
+        turn.dueAt ??= now + turnDelayMs();
+        if (now >= turn.dueAt) {
+            // The next attempt is a full turn later, so the record is read from the log before another one is appended.
+            turn.dueAt = now + TURN_MS;
             void append();
         }
     };
--- a/packages/daemon/src/configuration/stepReader.ts
+++ b/packages/daemon/src/configuration/stepReader.ts
@@ -16,30 +16,30 @@
     typeof record.data === "object" && record.data !== null && "kind" in record.data
     && record.data.kind === "snapshot";
 
-const read = (state: ReaderState, waitMs: number): ReaderEffect => ({
+const readEffect = (state: ReaderState, waitMs: number): ReaderEffect => ({
     kind: "read",
     from: state.cursor,
     waitMs,
     failures: state.failures,
 });
 
-/** Adds what follows from a changed fold: waiters look again, and a newer configuration comes into force. */
-const announced = (before: ReaderState, after: ReaderState): readonly ReaderEffect[] => {
+/** Returns the effects of a changed fold: waiting calls are checked, and a newer configuration is published. */
+const changeEffects = (before: ReaderState, after: ReaderState): readonly ReaderEffect[] => {
     const { configuration } = after.fold;
-    const former = before.isStarting ? 0 : before.fold.configuration.revision;
-    const isNewer = !after.isStarting && configuration.revision > former;
+    const previousRevision = before.isStarting ? 0 : before.fold.configuration.revision;
+    const isNewer = !after.isStarting && configuration.revision > previousRevision;
     return [
         ...(after.fold === before.fold ? [] : [{ kind: "advanced" as const, fold: after.fold }]),
         ...(isNewer ? [{ kind: "publish" as const, configuration }] : []),
     ];
 };
 
-const afterSnapshots = (state: ReaderState, records: readonly ConfigurationRecord[], now: Millis): ReaderState => {
+const withNewestSnapshot = (state: ReaderState, records: readonly ConfigurationRecord[], now: Millis): ReaderState => {
     const newest = records.filter(isSnapshot).at(-1);
     if (newest === undefined || newest.offset <= state.snapshotOffset) {
         return state;
     }
-    // One that was read while catching up may be as old as the log; only one that was seen to come has a known age.
+    // A snapshot read while catching up may be as old as the log; its age is known only if its arrival was observed.
     const snapshotAt = state.confirmedAt === undefined ? undefined : now;
     return { ...state, snapshotOffset: newest.offset, snapshotAt };
 };
@@ -47,22 +47,22 @@
 const onPage = (state: ReaderState, event: PageEvent, now: Millis): ReaderStep => {
     const { start, end, records } = event;
     const fold = records.reduce((at, record) => foldRecord(at, record).state, state.fold);
-    // Behind expired records nothing but a snapshot moves the fold, so the search for one goes on from record to
-    // record; with a snapshot found, reading goes back to the offset that the snapshot stands for.
+    // After records expired, only a snapshot can advance the fold, so the records that remain are searched for one.
+    // Once it is found, reading continues at the offset that the snapshot represents.
     const isSearching = fold.offset < start;
     const cursor = isSearching ? (records.at(-1)?.offset ?? event.from - 1) + 1 : fold.offset;
     const isStuck = cursor === event.from && records.length > 0;
-    const isNewest = fold.offset >= end;
+    const isAtEnd = fold.offset >= end;
     const next: ReaderState = {
-        ...afterSnapshots(state, records, now),
+        ...withNewestSnapshot(state, records, now),
         fold,
         cursor,
         failures: isStuck ? state.failures + 1 : 0,
-        confirmedAt: isNewest ? now : state.confirmedAt,
-        isStarting: state.isStarting && !isNewest,
+        confirmedAt: isAtEnd ? now : state.confirmedAt,
+        isStarting: state.isStarting && !isAtEnd,
         logStart: start,
     };
-    return { state: next, effects: [...announced(state, next), read(next, cursor < end ? 0 : LONG_POLL_MS)] };
+    return { state: next, effects: [...changeEffects(state, next), readEffect(next, cursor < end ? 0 : LONG_POLL_MS)] };
 };
 
 const onConfirmed = (state: ReaderState, event: ConfirmedEvent): ReaderStep => {
@@ -73,8 +73,8 @@
 };
 
 /**
- * Decides how the configuration stream is read on. The fold's revision never goes down: records are folded in order,
- * and a peer's state is only taken when it is further on.
+ * Handles an event of the configuration stream's reader. The fold's revision never decreases: records are folded in
+ * order, and the state of a peer is adopted only if it is newer.
  */
 export function stepReader(state: ReaderState, event: ReaderEvent, now: Millis): ReaderStep {
     switch (event.kind) {
@@ -82,25 +82,25 @@
             return onPage(state, event, now);
         case "expired": {
             const next = { ...state, cursor: Math.max(event.start, state.fold.offset), logStart: event.start };
-            return { state: next, effects: [read(next, 0)] };
+            return { state: next, effects: [readEffect(next, 0)] };
         }
         case "failed": {
             const next = { ...state, failures: state.failures + 1 };
-            return { state: next, effects: [read(next, LONG_POLL_MS)] };
+            return { state: next, effects: [readEffect(next, LONG_POLL_MS)] };
         }
         case "pulled": {
             const fold = adoptState(state.fold, event.fold);
             const isJoining = state.fold.offset === 0 || state.fold.offset < state.logStart;
-            // Where the log's newest snapshot stands is not known to one that joins; it counts from where it joined.
+            // A joining daemon does not know the newest snapshot's offset in the log; it uses that of the peer's state.
             const snapshotOffset = isJoining ? Math.max(state.snapshotOffset, fold.offset) : state.snapshotOffset;
             const next = { ...state, fold, snapshotOffset };
-            return { state: next, effects: announced(state, next) };
+            return { state: next, effects: changeEffects(state, next) };
         }
         case "confirmed":
             return onConfirmed(state, event);
         case "started": {
             const next = { ...state, isStarting: false };
-            return { state: next, effects: announced(state, next) };
+            return { state: next, effects: changeEffects(state, next) };
         }
     }
 }
--- a/packages/daemon/src/createTracePort.ts
+++ b/packages/daemon/src/createTracePort.ts
@@ -2,20 +2,20 @@
 
 import type { TracePort } from "./ports/TracePort.js";
 
-/** Requests that are remembered; the oldest is forgotten first, so memory stays bounded. */
+/** Maximum number of requests whose events are kept, to bound memory. The oldest is evicted first. */
 const MAX_REQUESTS = 2_000;
 
 type Events = NonNullable<ReturnType<TracePort["get"]>>;
 
 /**
- * Remembers what happened to the newest requests.
+ * Keeps the events of the most recent requests in memory.
  *
- * @param epoch milliseconds since the epoch
+ * @param epoch returns the time of day in milliseconds since the epoch
  */
 export function createTracePort(epoch: () => number): TracePort {
     const traces = new Map<RequestId, Events[number][]>();
 
-    const forgetOldest = (): void => {
+    const evictOldest = (): void => {
         const oldest = traces.keys().next();
         if (traces.size > MAX_REQUESTS && oldest.done !== true) {
             traces.delete(oldest.value);
@@ -26,7 +26,7 @@
         const events = traces.get(id) ?? [];
         events.push({ at: epoch(), what, values });
         traces.set(id, events);
-        forgetOldest();
+        evictOldest();
     };
 
     return { add, get: id => traces.get(id) };
--- a/packages/daemon/src/index.ts
+++ b/packages/daemon/src/index.ts
@@ -1,2 +1,2 @@
-/** The daemon `azureshuntd`: listeners, actors and the effects of the aggregates. */
+/** The daemon `azureshuntd`: listeners, actors, and the side effects that the aggregates request. */
 export { loadSettings } from "./loadSettings.js";
--- a/packages/daemon/src/loadSettings.ts
+++ b/packages/daemon/src/loadSettings.ts
@@ -7,7 +7,7 @@
 
 import { Settings } from "./Settings.js";
 
-/** All faults of a settings file, one line each: file, place, field, what was found and what is allowed. */
+/** All faults of a settings file, one line each: file, line and column, field, value found, values allowed. */
 type SettingsFaults = readonly string[];
 
 const readText = (file: string): string | undefined => {
@@ -20,9 +20,10 @@
 };
 
 /**
- * Reads and checks a settings file.
+ * Reads and validates a settings file.
  *
  * @param file path of a YAML file
+ * @returns Left with all faults if the file cannot be read or is invalid
  */
 export function loadSettings(file: string): Either<SettingsFaults, Settings> {
     const text = readText(file);
--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -1,4 +1,4 @@
-/** The daemon's program: `azureshuntd --settings FILE`. Exit codes: 0 stopped, 1 could not start, 2 bad usage. */
+/** Entry point of the daemon: `azureshuntd --settings FILE`. Exit codes: 0 stopped, 1 start failed, 2 usage error. */
 import { cac } from "cac";
 
 import { loadSettings } from "./loadSettings.js";
@@ -13,7 +13,7 @@
 cli.help();
 cli.version("0.1.0");
 
-const refuse = (lines: readonly string[]): never => {
+const exitWithUsageError = (lines: readonly string[]): never => {
     lines.forEach(line => console.error(line));
     process.exit(EXIT_USAGE);
 };
@@ -31,10 +31,10 @@
 if (options["help"] !== true && options["version"] !== true) {
     const file: unknown = options["settings"];
     if (typeof file !== "string") {
-        refuse(["azureshuntd: --settings FILE is needed"]);
+        exitWithUsageError(["azureshuntd: --settings FILE is needed"]);
     }
     loadSettings(String(file)).caseOf({
-        Left: refuse,
+        Left: exitWithUsageError,
         Right: settings => {
             run(settings).catch((err: unknown) => {
                 console.error(`azureshuntd: could not start: ${err instanceof Error ? err.message : String(err)}`);
--- a/packages/daemon/src/membership/HomePort.ts
+++ b/packages/daemon/src/membership/HomePort.ts
@@ -1,18 +1,18 @@
 import type { VmId } from "@azureshunt/core";
 import type { Membership, MembershipEvent } from "@azureshunt/membership";
 
-/** What the allowances need of the membership: who is home, and the hand-overs between homes. */
+/** Interface of the membership for allowances: home VMs and hand-overs between them. */
 export type HomePort = {
     readonly membership: () => Membership;
     readonly tell: (event: MembershipEvent) => void;
-    /** Calls the function whenever members or homes may have changed. */
+    /** Registers a function that is called whenever members or homes may have changed. */
     readonly onHomesChanged: (listener: () => void) => void;
-    /** Calls the function when another VM is to be asked for a hand-over. */
+    /** Registers a function that is called when this VM must ask the VM `of` for a hand-over. */
     readonly onHandOverDue: (listener: (of: VmId, joinedAt: number) => void) => void;
     /**
-     * Tells all VMs that this one stops.
+     * Appends a record to the log that this VM leaves.
      *
-     * @returns whether this daemon has seen its own record in the log
+     * @returns whether this daemon has read that record from the log before the timeout
      */
     readonly leave: () => Promise<boolean>;
 };
--- a/packages/daemon/src/membership/createMembershipPort.ts
+++ b/packages/daemon/src/membership/createMembershipPort.ts
@@ -16,21 +16,21 @@
 import { membersOf } from "./membersOf.js";
 
 const STREAM = "membership";
-const LIST_MS = 1_000;
+const VM_LIST_POLL_MS = 1_000;
 const TICK_MS = 100;
-const LEAVE_MS = 2_000;
+const LEAVE_TIMEOUT_MS = 2_000;
 const LEAVE_POLL_MS = 20;
 
 type Members = ReturnType<MembershipPort["members"]>;
 
-/** The membership of this daemon: what others see of it, and what its allowances need. */
-type MembershipParty = MembershipPort & HomePort & { readonly stop: () => void; };
+/** The membership of this daemon, with the interface for allowances. */
+type DaemonMembership = MembershipPort & HomePort & { readonly stop: () => void; };
 
 /**
- * Follows the membership stream of the log and the platform's list of VMs. While neither can be read, what was known
- * last stands.
+ * Follows the membership stream of the log and the platform's list of VMs. While neither can be read, the last known
+ * members remain.
  */
-export function createMembershipPort(parts: MembershipParts): MembershipParty {
+export function createMembershipPort(parts: MembershipParts): DaemonMembership {
     const { settings, incarnation, clock, log, metrics } = parts;
     const logger = parts.logger("membership");
     const self: MembershipPort["self"] = {
@@ -49,7 +49,7 @@
         peer: self.peer,
         admin: self.admin,
     };
-    const known: { listed: readonly ListedVm[]; } = { listed: [] };
+    const vmList: { listed: readonly ListedVm[]; } = { listed: [] };
     const listeners = new Set<(members: Members) => void>();
     const homeListeners: (() => void)[] = [];
     const handOverListeners: Parameters<HomePort["onHandOverDue"]>[0][] = [];
@@ -63,8 +63,8 @@
         });
     }, "membership-appender");
 
-    const members = (): Members => membersOf(self, aggregate.state(), known.listed, settings.peers.seeds);
-    const announce = (): void => {
+    const members = (): Members => membersOf(self, aggregate.state(), vmList.listed, settings.peers.seeds);
+    const notifyListeners = (): void => {
         listeners.forEach(listener => listener(members()));
         homeListeners.forEach(listener => listener());
     };
@@ -77,7 +77,7 @@
                 handOverListeners.forEach(listener => listener(effect.of, effect.joinedAt));
                 return;
             case "changed":
-                announce();
+                notifyListeners();
                 return;
         }
     };
@@ -88,26 +88,26 @@
         perform,
     });
     const leaving = { is: false };
-    const poll = async (): Promise<void> => {
+    const pollVmList = async (): Promise<void> => {
         const listed = await listVms(settings.platform.url).run();
         listed.ifRight(vms => {
-            known.listed = vms;
+            vmList.listed = vms;
             aggregate.tell({ kind: "listed", vms });
             listeners.forEach(listener => listener(members()));
         });
     };
-    const ending = new AbortController();
+    const stopController = new AbortController();
     const timers = [
-        setInterval(() => void poll(), LIST_MS),
+        setInterval(() => void pollVmList(), VM_LIST_POLL_MS),
         setInterval(() => {
             if (!leaving.is) {
                 aggregate.tell({ kind: "tick" });
             }
         }, TICK_MS),
     ];
-    void poll();
-    followMembershipLog(parts, aggregate.tell, ending.signal)
-        .catch((err: unknown) => logger.error({ err }, "Stopped following the log."));
+    void pollVmList();
+    followMembershipLog(parts, aggregate.tell, stopController.signal)
+        .catch((err: unknown) => logger.error({ err }, "Following the membership log failed."));
 
     const hasLeft = (): boolean => !aggregate.state().members.has(settings.vm);
     const waitUntilLeft = async (deadline: number): Promise<boolean> => {
@@ -128,7 +128,7 @@
         leave: async () => {
             leaving.is = true;
             dispatch(appender, { ...record, kind: "leave" });
-            return await waitUntilLeft(clock.now() + LEAVE_MS);
+            return await waitUntilLeft(clock.now() + LEAVE_TIMEOUT_MS);
         },
         subscribe: onChange => {
             listeners.add(onChange);
@@ -136,7 +136,7 @@
         },
         stop: () => {
             timers.forEach(clearInterval);
-            ending.abort();
+            stopController.abort();
         },
     };
 }
--- a/packages/daemon/src/membership/followMembershipLog.ts
+++ b/packages/daemon/src/membership/followMembershipLog.ts
@@ -7,24 +7,24 @@
 
 const STREAM = "membership";
 const PAGE_RECORDS = 500;
-const WAIT_MS = 1_000;
+const LONG_POLL_MS = 1_000;
 const RETRY_MS = 400;
 
-/** Reads the log stream of the membership from its start on, until the signal ends it. */
+/** Reads the membership stream of the log from its start until the signal aborts, applying each page as an event. */
 export async function followMembershipLog(
     parts: Pick<MembershipParts, "log" | "random" | "logger">,
-    tell: (event: MembershipEvent) => void,
+    apply: (event: MembershipEvent) => void,
     signal: AbortSignal,
 ): Promise<void> {
     const logger = parts.logger("membership");
-    const pause = (): Promise<void> =>
+    const waitBeforeRetry = (): Promise<void> =>
         delay(RETRY_MS * (0.5 + parts.random()), undefined, { signal }).catch(() => undefined);
 
     const readFrom = async (from: number): Promise<number> => {
-        const page = await parts.log.read(STREAM, from, PAGE_RECORDS, WAIT_MS, signal);
+        const page = await parts.log.read(STREAM, from, PAGE_RECORDS, LONG_POLL_MS, signal);
         return page.caseOf<Promise<number>>({
             Left: async failure => {
-                await pause();
+                await waitBeforeRetry();
                 return failure.kind === "expired" ? failure.start : from;
             },
             Right: async ({ records, end }) => {
@@ -32,11 +32,11 @@
                 const parsed = records.flatMap(({ offset, data }) => {
                     const record = MembershipRecord.safeParse(data);
                     if (!record.success) {
-                        logger.warn({ offset }, "Skipped a record that is not understood.");
+                        logger.warn({ offset }, "Skipped a membership record: unknown format.");
                     }
                     return record.success ? [{ offset, record: record.data }] : [];
                 });
-                tell({ kind: "read", from, next, atEnd: next >= end, records: parsed });
+                apply({ kind: "read", from, next, atEnd: next >= end, records: parsed });
                 return next;
             },
         });
--- a/packages/daemon/src/peers/createPeerClients.ts
+++ b/packages/daemon/src/peers/createPeerClients.ts
@@ -8,15 +8,15 @@
 const MAX_RECONNECT_MS = 2_000;
 const MAX_MESSAGE_BYTES = 16_777_216;
 
-/** A channel on which calls are answered by nothing but their timeouts for this long is given up. */
+/** If a call times out, its channel is closed if nothing was received on it for longer than this. */
 const SILENT_MS = 1_000;
 
 const identity = (bytes: Buffer): Buffer => bytes;
 
-/** A channel to one daemon, and when it was last known to bring answers. */
-type Channel = { readonly client: Client; heardAt: number; };
+/** A channel to one daemon; `lastAnswerAt` is the time of the last answer, or of the creation until then. */
+type Channel = { readonly client: Client; lastAnswerAt: number; };
 
-/** Sends encoded envelopes to the daemons at given addresses, over one kept-open channel for each. */
+/** Sends encoded envelopes to other daemons over one persistent channel per address. */
 type PeerClients = {
     readonly send: (
         address: string,
@@ -28,25 +28,25 @@
 };
 
 /**
- * Keeps the channels to other daemons.
+ * Manages the channels to other daemons.
  *
- * Failure: a channel goes silent for good while new connections to the same daemon work; it shows as calls that only
- * end by their timeout. Guard: where nothing has come for a while when a call times out, the channel is closed and the next
- * call opens a new one.
+ * A channel can become silent permanently although new connections to the same daemon work. Symptom: calls that end
+ * only by their timeout. To prevent this, if a call times out and nothing was received on the channel for `SILENT_MS`,
+ * the channel is closed, and the next call opens a new one.
  *
- * Failure: a daemon that is busy answers late, its channel is closed for it, and each call from then on pays for a new
- * connection that is late again. Guard: one late answer closes nothing, as answers to others have come.
+ * If every timeout closed the channel, a busy daemon that answers late would make each further call pay for a new
+ * connection, and be late again. To prevent this, a timeout closes nothing while other calls are answered.
  *
- * @param path the gRPC method
- * @param credentials of the channels
+ * @param path path of the gRPC method
+ * @param credentials credentials of the channels
  */
 export function createPeerClients(path: string, credentials: ChannelCredentials): PeerClients {
     const channels = new Map<string, Channel>();
 
     const channelOf = (address: string): Channel => {
-        const known = channels.get(address);
-        if (known !== undefined) {
-            return known;
+        const existing = channels.get(address);
+        if (existing !== undefined) {
+            return existing;
         }
         const client = new Client(address, credentials, {
             "grpc.keepalive_time_ms": KEEPALIVE_MS,
@@ -56,22 +56,22 @@
             "grpc.enable_retries": 0,
             "grpc.use_local_subchannel_pool": 1,
         });
-        const made: Channel = { client, heardAt: performance.now() };
-        channels.set(address, made);
-        return made;
+        const created: Channel = { client, lastAnswerAt: performance.now() };
+        channels.set(address, created);
+        return created;
     };
 
-    /** Closes a channel, unless a new one has taken its place. */
-    const drop = (address: string, channel: Channel): void => {
+    /** Closes a channel, unless it has already been replaced. */
+    const closeChannel = (address: string, channel: Channel): void => {
         if (channels.get(address) === channel) {
             channels.delete(address);
             channel.client.close();
         }
     };
 
-    const isUseless = (channel: Channel, code: status | undefined): boolean =>
+    const mustClose = (channel: Channel, code: status | undefined): boolean =>
         code === status.UNAVAILABLE
-        || (code === status.DEADLINE_EXCEEDED && performance.now() - channel.heardAt > SILENT_MS);
+        || (code === status.DEADLINE_EXCEEDED && performance.now() - channel.lastAnswerAt > SILENT_MS);
 
     const send: PeerClients["send"] = (address, bytes, signature, timeoutMs) =>
         new Promise(resolve => {
@@ -87,11 +87,11 @@
                 metadata,
                 { deadline },
                 (err, answer) => {
-                    if (isUseless(channel, err?.code)) {
-                        drop(address, channel);
+                    if (mustClose(channel, err?.code)) {
+                        closeChannel(address, channel);
                     }
                     if (err === null) {
-                        channel.heardAt = performance.now();
+                        channel.lastAnswerAt = performance.now();
                     }
                     if (err !== null || answer === undefined) {
                         resolve(Left(err ?? new Error("no answer")));
@@ -103,6 +103,6 @@
             );
         });
 
-    const close = (): void => channels.forEach((channel, address) => drop(address, channel));
+    const close = (): void => channels.forEach((channel, address) => closeChannel(address, channel));
     return { send, close };
 }
--- a/packages/daemon/src/peers/createPeerPort.ts
+++ b/packages/daemon/src/peers/createPeerPort.ts
@@ -32,12 +32,12 @@
 };
 
 /**
- * Starts the exchange of messages with other daemons.
+ * Starts the server and the clients for messages between daemons.
  *
- * @param settings this daemon's
- * @param incarnation this run of the daemon
- * @param peers the other daemons as known now
- * @throws Error when the peer address cannot be bound or a certificate cannot be read
+ * @param settings settings of this daemon
+ * @param incarnation incarnation of this daemon
+ * @param peers returns the other daemons that are currently known
+ * @throws Error if the peer address cannot be bound or a certificate cannot be read
  */
 export async function createPeerPort(
     settings: Settings,
--- a/packages/daemon/src/peers/loadPeerSchema.ts
+++ b/packages/daemon/src/peers/loadPeerSchema.ts
@@ -6,7 +6,7 @@
 const PROTO_FILE = fileURLToPath(new URL("../../proto/peers.proto", import.meta.url));
 const SERVICE = "azureshunt.peers.v1.Peers";
 
-/** One message between daemons as the generated codec gives it; `body` names the field of the `oneof` that is set. */
+/** A decoded message between daemons. `body` is the name of the field of the `oneof` that is set. */
 type Envelope = {
     readonly fromVm: string;
     readonly fromIncarnation: string;
@@ -14,14 +14,14 @@
     readonly [field: string]: unknown;
 };
 
-/** The codec of envelopes and the path of the one method. */
+/** The codec of envelopes and the path of the only gRPC method. */
 type PeerSchema = {
     readonly path: string;
     readonly encode: (envelope: Envelope) => Buffer;
     readonly decode: (bytes: Buffer) => Envelope;
 };
 
-/** Reads `peers.proto`. Done once at start. */
+/** Loads `peers.proto`. Called once at start. */
 export function loadPeerSchema(): PeerSchema {
     const definition = loadSync(PROTO_FILE, { longs: Number, defaults: true, oneofs: true, enums: String });
     const service = definition[SERVICE] as ServiceDefinition;
--- a/packages/daemon/src/peers/signEnvelope.ts
+++ b/packages/daemon/src/peers/signEnvelope.ts
@@ -1,11 +1,11 @@
 import { createHmac } from "node:crypto";
 
 /**
- * Signs a message between daemons with the secret that they share.
+ * Signs a message between daemons with their shared secret.
  *
- * @param secret from the settings
- * @param to VM that the message is for, so that it is worth nothing elsewhere
- * @param bytes the encoded envelope
+ * @param secret shared secret from the settings
+ * @param to VM that receives the message, so that the signature is invalid on any other VM
+ * @param bytes encoded envelope
  * @returns the HMAC-SHA256 in hexadecimal
  */
 export function signEnvelope(secret: string, to: string, bytes: Uint8Array): string {
--- a/packages/daemon/src/peers/startPeerServer.ts
+++ b/packages/daemon/src/peers/startPeerServer.ts
@@ -10,10 +10,10 @@
 const MAX_MESSAGE_BYTES = 16_777_216;
 const KEEPALIVE_MS = 5_000;
 
-/** What answers a message: `kind` is the field of the `oneof`; undefined where nothing handles it. */
+/** Answers a message; `kind` is the field of the `oneof`. Resolves to `undefined` if it has no handler. */
 type AnswerMessage = (kind: string, body: object, from: VmId) => Promise<object | undefined>;
 
-/** What the server of peers' messages is started with. */
+/** Parameters of `startPeerServer`. */
 type PeerServerParts = {
     readonly schema: ReturnType<typeof loadPeerSchema>;
     readonly address: string;
@@ -27,10 +27,10 @@
 const signatureOf = (metadata: Metadata): Buffer => Buffer.from(String(metadata.get("x-signature")[0] ?? ""), "hex");
 
 /**
- * Starts the gRPC server that other daemons talk to. A message without a valid signature is refused.
+ * Starts the gRPC server for messages of other daemons. A message without a valid signature is refused.
  *
  * @returns a function that stops the server
- * @throws Error when the address cannot be bound
+ * @throws Error if the address cannot be bound
  */
 export async function startPeerServer(parts: PeerServerParts): Promise<() => void> {
     const { schema, vm, incarnation, secret } = parts;
@@ -42,8 +42,8 @@
 
     const isSigned = (bytes: Buffer, metadata: Metadata): boolean => {
         const expected = Buffer.from(signEnvelope(secret, vm, bytes), "hex");
-        const found = signatureOf(metadata);
-        return found.length === expected.length && timingSafeEqual(found, expected);
+        const actual = signatureOf(metadata);
+        return actual.length === expected.length && timingSafeEqual(actual, expected);
     };
 
     const exchange: handleUnaryCall<Buffer, Buffer> = (call, done) => {
--- a/packages/daemon/src/startDaemon.ts
+++ b/packages/daemon/src/startDaemon.ts
@@ -27,15 +27,15 @@
 
 /** A running daemon. */
 type Daemon = {
-    /** Stops taking requests, lets those that run finish, hands allowances over, and ends all parts. */
+    /** Refuses new requests, waits for running ones, hands allowances over to other VMs, and stops all parts. */
     readonly shutDown: () => Promise<void>;
 };
 
 /**
  * Starts all parts of a daemon.
  *
- * @param settings checked settings
- * @throws Error when a listener cannot be bound or a certificate cannot be read
+ * @param settings validated settings
+ * @throws Error if a listener cannot be bound or a certificate cannot be read
  */
 export async function startDaemon(settings: Settings): Promise<Daemon> {
     const incarnation = randomUUID() as string as Incarnation;
