--- a/packages/cli/src/CliContext.ts
+++ b/packages/cli/src/CliContext.ts
@@ -1,18 +1,18 @@
 import type { Target } from "./Target.js";
 
-/** What a command works with. */
+/** Inputs and outputs of a running command. */
 export type CliContext = {
     /** Positional arguments, in the order of the command's usage. */
     readonly args: readonly string[];
-    /** All words as typed. */
+    /** The whole command line as typed, without the program's name. */
     readonly argv: readonly string[];
-    /** Options by their long names in camel case. */
+    /** Parsed options by long name in camel case. */
     readonly options: Readonly<Record<string, unknown>>;
     readonly target: Target | undefined;
-    /** Milliseconds of a monotonic clock. */
+    /** Returns the milliseconds of a monotonic clock. */
     readonly now: () => number;
     readonly sleep: (ms: number) => Promise<void>;
-    /** Writes one line at once, for commands that go on. */
-    readonly say: (line: string) => void;
+    /** Writes one line immediately, for commands that continue running. */
+    readonly printLine: (line: string) => void;
     readonly paint: (text: string, colour: "green" | "red" | "yellow") => string;
 };
--- a/packages/cli/src/CliFailure.ts
+++ b/packages/cli/src/CliFailure.ts
@@ -1,9 +1,9 @@
-/** Why a command ended without doing what it was asked for. */
+/** Why a command failed. */
 export type CliFailure = {
     /** One of `exitCodes`. */
     readonly code: number;
-    /** Lines for people. */
+    /** Human-readable lines. */
     readonly lines: readonly string[];
-    /** The same for `--json`. */
+    /** Output with `--json`; a generic object with the lines if undefined. */
     readonly json?: unknown;
 };
--- a/packages/cli/src/CliOutput.ts
+++ b/packages/cli/src/CliOutput.ts
@@ -1,9 +1,9 @@
-/** What a command gives back. */
+/** Result of a successful command. */
 export type CliOutput = {
-    /** For people. */
+    /** Human-readable lines. */
     readonly lines: readonly string[];
-    /** For `--json`. */
+    /** Output with `--json`. */
     readonly json: unknown;
-    /** One of `exitCodes`; done when left out. */
+    /** One of `exitCodes`; `done` if undefined. */
     readonly code?: number;
 };
--- a/packages/cli/src/Command.ts
+++ b/packages/cli/src/Command.ts
@@ -4,16 +4,16 @@
 import type { CliFailure } from "./CliFailure.js";
 import type { CliOutput } from "./CliOutput.js";
 
-/** One command of the tool. */
+/** One command of the command-line tool. */
 export type Command = {
-    /** Words and arguments, such as `release show <revision>`. */
+    /** Name and arguments, such as `release show <revision>`. */
     readonly usage: string;
     readonly summary: string;
-    /** A whole command line. */
+    /** An example of a complete command line. */
     readonly example: string;
-    /** Options beside those of all commands: flag and description. */
+    /** Options in addition to those that all commands have. */
     readonly options?: readonly { readonly flag: string; readonly description: string; }[];
-    /** Whether it talks to a daemon. */
+    /** Whether the command calls a daemon, so that address and key are required. */
     readonly needsTarget: boolean;
     readonly run: (ctx: CliContext) => EitherAsync<CliFailure, CliOutput>;
 };
--- a/packages/cli/src/Target.ts
+++ b/packages/cli/src/Target.ts
@@ -1,7 +1,7 @@
-/** The daemon that the tool talks to. */
+/** The daemon that the tool calls. */
 export type Target = {
     /** Base URL of an administration listener. */
     readonly url: string;
-    /** Administration key. Never printed. */
+    /** Administration key. It must never be printed. */
     readonly key: string;
 };
--- a/packages/cli/src/__tests__/unit/explain.test.ts
+++ b/packages/cli/src/__tests__/unit/explain.test.ts
@@ -12,16 +12,16 @@
 const explain = async (argv: readonly string[], logs: Readonly<Record<string, readonly string[]>>) => {
     const folder = mkdtempSync(join(tmpdir(), "azureshunt-explain-"));
     Object.entries(logs).forEach(([name, lines]) => writeFileSync(join(folder, name), lines.join("\n")));
-    const said: string[] = [];
+    const printed: string[] = [];
     const code = await runCli(
         ["explain", ...argv.map(word => word in logs ? join(folder, word) : word)],
-        { env: {}, isTerminal: false, out: text => said.push(text), err: text => said.push(text) },
+        { env: {}, isTerminal: false, out: text => printed.push(text), err: text => printed.push(text) },
     );
     rmSync(folder, { recursive: true });
-    return { code, lines: said };
+    return { code, lines: printed };
 };
 
-// Lines of one request lie in the files of several VMs among others, and its cause is not found.
+// The log lines of one request are mixed with others in the files of several VMs, so its cause is hard to find.
 const logs = {
     "one.log": [
         line(1_000, "vm-1", "request", "request: Admitted.", { id: "12e45678", tokens: 100 }),
@@ -46,7 +46,7 @@
     ],
 };
 
-test("explain: the request's lines in order, and around them its endpoints on all VMs and its own VM's beliefs", async t => {
+test("explain: lists the request's lines, then nearby lines on its endpoints (any VM) and its VM's state", async t => {
     const { code, lines } = await explain(["--id", "12e45678", "one.log", "two.log"], logs);
     t.is(code, 0);
     t.deepEqual(lines.map(each => each.replace(/ +/g, " ")), [
@@ -64,7 +64,7 @@
     ]);
 });
 
-// The cause of a failed request is in no line that its id leads to.
+// The cause of a failed request may be in lines that do not carry its id.
 const SAMPLES = new URL("../../../../../docs/samples/", import.meta.url).pathname;
 const causes: readonly (readonly [id: string, file: string, cause: RegExp])[] = [
     [
@@ -77,14 +77,14 @@
 ];
 
 causes.forEach(([id, file, cause]) => {
-    test(`explain: the cause shows, ${file}`, async t => {
+    test(`explain: shows the cause in ${file}`, async t => {
         const { code, lines } = await explain(["--id", id, `${SAMPLES}${file}`], {});
         t.is(code, 0);
         t.regex(lines.join("\n"), cause);
     });
 });
 
-test("explain: an id that no line names, a file that is not there, no id", async t => {
+test("explain: fails for an unknown id, a missing file, and a missing --id", async t => {
     const unknown = await explain(["--id", "none", "one.log"], logs);
     t.is(unknown.code, 7);
     t.regex(unknown.lines.join(), /5 lines read, 1 not readable/);
--- a/packages/cli/src/__tests__/unit/runCli.test.ts
+++ b/packages/cli/src/__tests__/unit/runCli.test.ts
@@ -19,7 +19,7 @@
 const IN_FORCE: Reply = {
     body: { revision: 2, inForce: true, vms: [{ vm: "vm-1", failureDomain: "a", revision: 2 }] },
 };
-const BEHIND: Reply = {
+const OUTDATED: Reply = {
     body: {
         revision: 2,
         inForce: false,
@@ -39,7 +39,7 @@
 const APPLY = "POST /admin/v1/releases?base=1";
 const STATUS = "GET /admin/v1/status?fleet=1";
 
-/** Starts a daemon's stand-in that answers from a table; a call that is not in it loses its connection. */
+/** Starts a fake daemon that answers from a table and closes the connection of any other call. */
 const startAdmin = async (replies: Replies) => {
     const server = createServer((req: IncomingMessage, res: ServerResponse) => {
         const reply = replies[`${req.method} ${req.url}`];
@@ -86,7 +86,7 @@
     { title: "a missing argument", argv: ["release", "check"], code: 2, says: ["missing required args"] },
     { title: "an unknown option", argv: ["vm", "list", "--bogus"], code: 2, says: ["Unknown option `--bogus`"] },
     {
-        title: "a file that is not there",
+        title: "a missing file",
         argv: ["release", "check", "/none"],
         code: 2,
         says: ["/none: cannot be read (ENOENT)"],
@@ -117,21 +117,21 @@
         ],
     },
     {
-        title: "a note that is applied and in force everywhere",
+        title: "a note that is applied and in force on all VMs",
         argv: ["release", "apply", "good.yaml"],
         replies: { [DRY_RUN]: DRY, [APPLY]: { body: { kind: "accepted", revision: 2 } }, [STATUS]: IN_FORCE },
         code: 0,
         says: ["+ models guide", "accepted, revision 2", "in force everywhere"],
     },
     {
-        title: "a note that some VMs do not have in force",
+        title: "a note that is not in force on some VMs",
         argv: ["release", "apply", "good.yaml", "--wait", "0"],
-        replies: { [DRY_RUN]: DRY, [APPLY]: { body: { kind: "accepted", revision: 2 } }, [STATUS]: BEHIND },
+        replies: { [DRY_RUN]: DRY, [APPLY]: { body: { kind: "accepted", revision: 2 } }, [STATUS]: OUTDATED },
         code: 4,
         says: ["not in force after 0 s on VMs vm-2, vm-3 (failure domains b, c)"],
     },
     {
-        title: "a note that lost the race",
+        title: "a note that conflicts with a concurrent change",
         argv: ["release", "apply", "good.yaml"],
         replies: {
             [DRY_RUN]: DRY,
@@ -148,7 +148,7 @@
         says: ["not known whether the note was accepted; run it again"],
     },
     {
-        title: "a note that the log may have taken",
+        title: "a note that the log may have appended",
         argv: ["release", "apply", "good.yaml"],
         replies: { [DRY_RUN]: DRY, [APPLY]: { status: 504, body: { kind: "not-known", id: "r" } } },
         code: 5,
@@ -175,14 +175,14 @@
         says: ["refused: not-found"],
     },
     {
-        title: "a hostile id",
+        title: "an id with path segments",
         argv: ["key", "withdraw", "../../x"],
         replies: { "DELETE /admin/v1/keys/..%2F..%2Fx": refusal(404, "not-found") },
         code: 7,
         says: ["refused: not-found"],
     },
     {
-        title: "a key that is given",
+        title: "a new key",
         argv: ["key", "give", "--organisation", "o"],
         replies: {
             "POST /admin/v1/keys": { body: { kind: "accepted", revision: 2, id: "k", key: "ask_once" } },
@@ -192,7 +192,7 @@
         says: ["key k, shown only this once:", "ask_once", "in force everywhere"],
     },
     {
-        title: "why a request went where it went",
+        title: "the placement choices of a request",
         argv: ["why", "r1"],
         replies: {
             "GET /admin/v1/requests/r1": {
@@ -233,7 +233,7 @@
     })
 );
 
-test("a configuration file is taken only when no one else can read it", async t => {
+test("a configuration file is refused if others can read it", async t => {
     const folder = mkdtempSync(join(tmpdir(), "azureshunt-cli-"));
     const file = join(folder, "conf.yaml");
     writeFileSync(file, "url: http://127.0.0.1:1\nkey: asa_x\n");
@@ -248,7 +248,7 @@
     rmSync(folder, { recursive: true });
 });
 
-test("every command has an example that begins with its own words", t => {
+test("the example of every command begins with its name", t => {
     commands.forEach(({ usage, example }) => {
         t.true(example.startsWith(`azureshunt ${usage.replace(/ <.*/, "")}`), usage);
     });
--- a/packages/cli/src/callAdmin.ts
+++ b/packages/cli/src/callAdmin.ts
@@ -6,17 +6,17 @@
 import { failure } from "./failure.js";
 
 const TIMEOUT_MS = 15_000;
-const REFUSED_KEYS = ["missing-key", "unknown-key", "withdrawn-key"];
+const KEY_ERROR_CODES = ["missing-key", "unknown-key", "withdrawn-key"];
 
-/** What a daemon answered. Statuses other than 200 come through only for outcomes that are no errors of the API. */
+/** Answer of a daemon. Its status may differ from 200 only if the body is an outcome, not an error of the API. */
 type AdminReply = { readonly status: number; readonly body: Readonly<Record<string, unknown>>; };
 
-/** What is sent beside method and path. */
+/** Optional body and header of a call. */
 type AdminRequest = { readonly body?: string; readonly idempotencyKey?: string; };
 
 const failureOf = (error: { readonly code?: string; readonly message?: string; }, json: unknown): CliFailure => {
     const lines = [`refused: ${error.message ?? error.code ?? "no reason given"}`];
-    if (REFUSED_KEYS.includes(error.code ?? "")) {
+    if (KEY_ERROR_CODES.includes(error.code ?? "")) {
         return failure("key", lines, json);
     }
     if (error.code === "bad-request") {
@@ -25,7 +25,7 @@
     return failure(error.code === "not-found" ? "notFound" : "failed", lines, json);
 };
 
-/** Calls the administration API of the daemon that the tool talks to. */
+/** Calls the administration API of the target daemon; a refusal becomes a failure with the matching exit code. */
 export function callAdmin(
     ctx: CliContext,
     method: "GET" | "POST" | "DELETE",
@@ -38,7 +38,7 @@
             authorization: `Bearer ${key}`,
             ...(idempotencyKey === undefined ? {} : { "idempotency-key": idempotencyKey }),
         };
-        const received = await request(`${url}${path}`, {
+        const response = await request(`${url}${path}`, {
             method,
             headers,
             body,
@@ -54,7 +54,7 @@
                 return Left<CliFailure, AdminReply>(failure("failed", [`${url} cannot be reached: ${reason}`]));
             },
         ).catch(() => Left<CliFailure, AdminReply>(failure("failed", [`${url} is no administration listener`])));
-        const reply = await liftEither(received);
+        const reply = await liftEither(response);
         const error = reply.body["error"];
         return typeof error === "object" && error !== null
             ? await liftEither(Left<CliFailure, AdminReply>(failureOf(error, reply.body)))
--- a/packages/cli/src/commands/applyRelease.ts
+++ b/packages/cli/src/commands/applyRelease.ts
@@ -9,24 +9,24 @@
 import type { Command } from "../Command.js";
 import { exitCodes } from "../exitCodes.js";
 import { failure } from "../failure.js";
-import { inForceEverywhere } from "../inForceEverywhere.js";
 import { listRows } from "../listRows.js";
-import { noteFaults } from "../noteFaults.js";
 import { readText } from "../readText.js";
+import { releaseNoteFailure } from "../releaseNoteFailure.js";
+import { waitUntilInForce } from "../waitUntilInForce.js";
 
 const DEFAULT_WAIT_S = 10;
-const MS = 1_000;
-const SIGNS: Readonly<Record<string, string>> = { added: "+", changed: "~", withdrawn: "-" };
+const MS_PER_S = 1_000;
+const CHANGE_MARKS: Readonly<Record<string, string>> = { added: "+", changed: "~", withdrawn: "-" };
 
 type Body = Readonly<Record<string, unknown>>;
 
 const changeLine = (change: Body): string => {
     const fields = Array.isArray(change["fields"]) ? change["fields"].join(", ") : "";
-    const sign = SIGNS[String(change["change"])] ?? "?";
-    return `${sign} ${String(change["kind"])} ${String(change["id"])}${fields === "" ? "" : ` (${fields})`}`;
+    const mark = CHANGE_MARKS[String(change["change"])] ?? "?";
+    return `${mark} ${String(change["kind"])} ${String(change["id"])}${fields === "" ? "" : ` (${fields})`}`;
 };
 
-/** Gives an outcome other than acceptance its line and exit code. */
+/** Turns any outcome but `accepted` and `valid` into a failure with its message and exit code. */
 const checkOutcome = (file: string, body: Body): EitherAsync<CliFailure, Body> => {
     const fail = (why: CliFailure) => EitherAsync.liftEither(Left<CliFailure, Body>(why));
     switch (body["kind"]) {
@@ -34,7 +34,7 @@
         case "valid":
             return EitherAsync.liftEither(Right(body));
         case "invalid":
-            return fail(noteFaults(file, (body["faults"] ?? []) as Parameters<typeof noteFaults>[1]));
+            return fail(releaseNoteFailure(file, (body["faults"] ?? []) as Parameters<typeof releaseNoteFailure>[1]));
         case "stale":
             return fail(failure("conflict", [
                 `conflict: the note was written against another revision than ${
@@ -63,8 +63,8 @@
     callAdmin(ctx, "POST", `/admin/v1/releases?${query}`, { body: text, idempotencyKey: id })
         .chain(({ body }) => checkOutcome(file, body));
 
-/** Once the note was sent, a lost answer leaves open whether it was accepted. */
-const sent = (why: CliFailure): CliFailure =>
+/** Changes the exit code of a lost answer to `notKnown`, as the note had been sent and may have been accepted. */
+const withUnknownOutcome = (why: CliFailure): CliFailure =>
     why.code === exitCodes.failed && why.json === undefined
         ? {
             ...why,
@@ -75,28 +75,28 @@
 
 const waitMsOf = (options: CliContext["options"]): number => {
     const seconds = Number(options["wait"] ?? DEFAULT_WAIT_S);
-    return Number.isFinite(seconds) && seconds >= 0 ? seconds * MS : DEFAULT_WAIT_S * MS;
+    return Number.isFinite(seconds) && seconds >= 0 ? seconds * MS_PER_S : DEFAULT_WAIT_S * MS_PER_S;
 };
 
-const awaited = (ctx: CliContext, body: Body, lines: readonly string[]): EitherAsync<CliFailure, CliOutput> => {
+const waitAndReport = (ctx: CliContext, body: Body, lines: readonly string[]): EitherAsync<CliFailure, CliOutput> => {
     const revision = Number(body["revision"]);
-    const begun = ctx.now();
+    const startedAt = ctx.now();
     const waitMs = waitMsOf(ctx.options);
-    return inForceEverywhere(ctx, revision, waitMs).map(missing => {
+    return waitUntilInForce(ctx, revision, waitMs).map(missing => {
         const json = { kind: "accepted", revision, unchanged: body["unchanged"] === true, ...missing };
-        const said = body["unchanged"] === true ? "nothing to change" : "accepted";
-        const first = [...lines, `${said}, revision ${revision}`];
+        const outcome = body["unchanged"] === true ? "nothing to change" : "accepted";
+        const first = [...lines, `${outcome}, revision ${revision}`];
         if (missing.vms.length === 0) {
-            const took = ((ctx.now() - begun) / MS).toFixed(1);
-            return { lines: [...first, ctx.paint(`in force everywhere after ${took} s`, "green")], json };
+            const elapsedS = ((ctx.now() - startedAt) / MS_PER_S).toFixed(1);
+            return { lines: [...first, ctx.paint(`in force everywhere after ${elapsedS} s`, "green")], json };
         }
-        const where = `not in force after ${waitMs / MS} s on VMs ${missing.vms.join(", ")} `
+        const where = `not in force after ${waitMs / MS_PER_S} s on VMs ${missing.vms.join(", ")} `
             + `(failure domains ${missing.failureDomains.join(", ")})`;
         return { lines: [...first, ctx.paint(where, "red")], json, code: exitCodes.notEverywhere };
     });
 };
 
-/** `release apply`: shows the difference, appends the note, and waits until it is in force everywhere. */
+/** `release apply`: shows the difference, appends the note, and waits until it is in force on all VMs. */
 const applyRelease: Command = {
     usage: "release apply <file>",
     summary: "Show the difference, apply a release note, and wait until it is in force everywhere",
@@ -116,8 +116,8 @@
                     return EitherAsync.liftEither(Right({ lines: [...lines, against], json: dry }));
                 }
                 return post(ctx, file, text, `base=${String(dry["revision"])}`, randomUUID())
-                    .mapLeft(sent)
-                    .chain(body => awaited(ctx, body, lines));
+                    .mapLeft(withUnknownOutcome)
+                    .chain(body => waitAndReport(ctx, body, lines));
             });
         }),
 };
--- a/packages/cli/src/commands/checkRelease.ts
+++ b/packages/cli/src/commands/checkRelease.ts
@@ -2,8 +2,8 @@
 import { EitherAsync } from "purify-ts";
 
 import type { Command } from "../Command.js";
-import { noteFaults } from "../noteFaults.js";
 import { readText } from "../readText.js";
+import { releaseNoteFailure } from "../releaseNoteFailure.js";
 
 /** `release check`: checks a release note without sending it. */
 const checkRelease: Command = {
@@ -14,7 +14,7 @@
     run: ({ args: [file = ""] }) =>
         EitherAsync.liftEither(
             readText(file)
-                .chain(text => parseReleaseNote(text).mapLeft(faults => noteFaults(file, faults)))
+                .chain(text => parseReleaseNote(text).mapLeft(faults => releaseNoteFailure(file, faults)))
                 .map(({ value }) => ({
                     lines: [`${file}: ok`, ...touchedItems(value).map(item => `  ${item}`)],
                     json: { kind: "valid", note: value.note, touched: touchedItems(value) },
--- a/packages/cli/src/commands/explainRequests.ts
+++ b/packages/cli/src/commands/explainRequests.ts
@@ -30,23 +30,23 @@
     const { own, around } = explainRequest(lines, id);
     const start = own[0]?.time;
     if (start === undefined) {
-        const unread = texts.length - lines.length;
+        const unparsed = texts.length - lines.length;
         return Left(
-            failure("notFound", [`${id}: no line names it; ${lines.length} lines read, ${unread} not readable`]),
+            failure("notFound", [`${id}: no line names it; ${lines.length} lines read, ${unparsed} not readable`]),
         );
     }
-    const shown = (heading: string, some: readonly LogLine[]): readonly string[] =>
-        some.length === 0 ? [] : [heading, ...table(HEADING, some.map(line => rowOf(line, start))), ""];
+    const section = (heading: string, sectionLines: readonly LogLine[]): readonly string[] =>
+        sectionLines.length === 0 ? [] : [heading, ...table(HEADING, sectionLines.map(line => rowOf(line, start))), ""];
     return Right({
         lines: [
-            ...shown(`request ${id}, first line ${new Date(start).toISOString()}`, own),
-            ...shown("around it: its endpoints, and what its VMs came to believe", around),
+            ...section(`request ${id}, first line ${new Date(start).toISOString()}`, own),
+            ...section("around it: its endpoints, and what its VMs came to believe", around),
         ],
         json: { id, own, around },
     });
 };
 
-/** The value of `--id` as typed; the parser takes what looks like a number for one. */
+/** Returns the value of `--id` as typed, because the parser converts values that look like numbers. */
 const typedId = ({ argv }: CliContext): string | undefined => {
     const index = argv.findIndex(word => word === "--id" || word.startsWith("--id="));
     const word = argv[index] ?? "";
@@ -66,7 +66,7 @@
     return EitherAsync.liftEither(texts.chain(read => explain(id, read.join("\n"))));
 };
 
-/** `explain`: the story of one request from the lines of several VMs. */
+/** `explain`: shows the log lines of several VMs that explain one request, in order of time. */
 const explainRequests: Command = {
     usage: "explain <...files>",
     summary: "Order the lines of several VMs' logs for one request; `-` is standard input",
--- a/packages/cli/src/commands/keyCommands.ts
+++ b/packages/cli/src/commands/keyCommands.ts
@@ -7,9 +7,9 @@
 import type { Command } from "../Command.js";
 import { exitCodes } from "../exitCodes.js";
 import { failure } from "../failure.js";
-import { inForceEverywhere } from "../inForceEverywhere.js";
 import { listRows } from "../listRows.js";
 import { table } from "../table.js";
+import { waitUntilInForce } from "../waitUntilInForce.js";
 
 const WAIT_MS = 10_000;
 
@@ -19,15 +19,15 @@
     if (body["kind"] === "accepted") {
         return EitherAsync.liftEither(Right(body));
     }
-    const isOpen = body["kind"] === "not-known";
-    const line = isOpen
+    const isUnknown = body["kind"] === "not-known";
+    const line = isUnknown
         ? "not known whether it was accepted; see `azureshunt key list`"
         : `not accepted: ${String(body["kind"])}`;
-    return EitherAsync.liftEither(Left(failure(isOpen ? "notKnown" : "failed", [line], body)));
+    return EitherAsync.liftEither(Left(failure(isUnknown ? "notKnown" : "failed", [line], body)));
 };
 
-const awaited = (ctx: CliContext, body: Body, lines: readonly string[]): EitherAsync<CliFailure, CliOutput> =>
-    inForceEverywhere(ctx, Number(body["revision"]), WAIT_MS).map(missing => ({
+const waitAndReport = (ctx: CliContext, body: Body, lines: readonly string[]): EitherAsync<CliFailure, CliOutput> =>
+    waitUntilInForce(ctx, Number(body["revision"]), WAIT_MS).map(missing => ({
         lines: missing.vms.length === 0
             ? [...lines, "in force everywhere"]
             : [...lines, ctx.paint(`not in force yet on VMs ${missing.vms.join(", ")}`, "red")],
@@ -58,7 +58,7 @@
         return callAdmin(ctx, "POST", "/admin/v1/keys", { body })
             .chain(reply => accepted(reply.body))
             .chain(given =>
-                awaited(ctx, given, [`key ${String(given["id"])}, shown only this once:`, String(given["key"])])
+                waitAndReport(ctx, given, [`key ${String(given["id"])}, shown only this once:`, String(given["key"])])
             );
     },
 };
@@ -72,7 +72,7 @@
         const [id = ""] = ctx.args;
         return callAdmin(ctx, "DELETE", `/admin/v1/keys/${encodeURIComponent(id)}`)
             .chain(reply => accepted(reply.body))
-            .chain(body => awaited(ctx, body, [`key ${id} withdrawn, revision ${String(body["revision"])}`]));
+            .chain(body => waitAndReport(ctx, body, [`key ${id} withdrawn, revision ${String(body["revision"])}`]));
     },
 };
 
@@ -96,7 +96,7 @@
         })),
 };
 
-/** The commands about keys. */
+/** Commands that manage keys. */
 const keyCommands: readonly Command[] = [giveKey, withdrawKey, listKeys];
 
 export { keyCommands };
--- a/packages/cli/src/commands/releaseCommands.ts
+++ b/packages/cli/src/commands/releaseCommands.ts
@@ -99,7 +99,7 @@
         })),
 };
 
-/** The commands about releases. */
+/** Commands that manage releases. */
 const releaseCommands: readonly Command[] = [
     checkRelease,
     applyRelease,
--- a/packages/cli/src/commands/showCommands.ts
+++ b/packages/cli/src/commands/showCommands.ts
@@ -11,14 +11,14 @@
 import { whyRequest } from "../whyRequest.js";
 
 const DEFAULT_INTERVAL_S = 2;
-const MS = 1_000;
+const MS_PER_S = 1_000;
 
-/** One list that a daemon gives: where it is, and which fields make its columns. */
+/** A list of the administration API: its path, the field that holds it, and column headings by field of a row. */
 type Listing = { readonly path: string; readonly field: string; readonly columns: Readonly<Record<string, string>>; };
 
 const cellOf = (value: unknown): unknown => typeof value === "object" && value !== null ? JSON.stringify(value) : value;
 
-const listing = (ctx: CliContext, { path, field, columns }: Listing): EitherAsync<CliFailure, CliOutput> =>
+const showList = (ctx: CliContext, { path, field, columns }: Listing): EitherAsync<CliFailure, CliOutput> =>
     callAdmin(ctx, "GET", path).map(({ body }) => ({
         lines: table(
             Object.values(columns),
@@ -27,7 +27,7 @@
         json: body,
     }));
 
-const shown = (ctx: CliContext, path: string): EitherAsync<CliFailure, CliOutput> =>
+const showAsYaml = (ctx: CliContext, path: string): EitherAsync<CliFailure, CliOutput> =>
     callAdmin(ctx, "GET", path).map(({ body }) => ({ lines: stringify(body).trimEnd().split("\n"), json: body }));
 
 const VMS: Listing = {
@@ -65,54 +65,55 @@
 const watch = (ctx: CliContext): EitherAsync<CliFailure, CliOutput> => {
     const interval = Number(ctx.options["interval"] ?? DEFAULT_INTERVAL_S);
     const count = Number(ctx.options["count"] ?? Number.POSITIVE_INFINITY);
-    const pauseMs = (interval > 0 ? interval : DEFAULT_INTERVAL_S) * MS;
+    const intervalMs = (interval > 0 ? interval : DEFAULT_INTERVAL_S) * MS_PER_S;
     const round = (left: number): EitherAsync<CliFailure, CliOutput> =>
-        listing(ctx, VMS).chain(output => {
+        showList(ctx, VMS).chain(output => {
             if (left <= 1) {
                 return EitherAsync(() => Promise.resolve(output));
             }
-            (ctx.options["json"] === true ? [JSON.stringify(output.json)] : [...output.lines, ""]).forEach(ctx.say);
-            return EitherAsync<CliFailure, void>(() => ctx.sleep(pauseMs)).chain(() => round(left - 1));
+            (ctx.options["json"] === true ? [JSON.stringify(output.json)] : [...output.lines, ""])
+                .forEach(ctx.printLine);
+            return EitherAsync<CliFailure, void>(() => ctx.sleep(intervalMs)).chain(() => round(left - 1));
         });
     return round(count);
 };
 
-/** The commands that only show something. */
+/** Commands that only show state. */
 const showCommands: readonly Command[] = [
     {
         usage: "organisation list",
         summary: "List organisations with their rates",
         example: "azureshunt organisation list",
         needsTarget: true,
-        run: ctx => listing(ctx, ORGANISATIONS),
+        run: ctx => showList(ctx, ORGANISATIONS),
     },
     {
         usage: "organisation show <id>",
         summary: "Show an organisation, its keys, and what it spent as that VM knows it",
         example: "azureshunt organisation show chains",
         needsTarget: true,
-        run: ctx => shown(ctx, `/admin/v1/organisations/${encodeURIComponent(ctx.args[0] ?? "")}`),
+        run: ctx => showAsYaml(ctx, `/admin/v1/organisations/${encodeURIComponent(ctx.args[0] ?? "")}`),
     },
     {
         usage: "endpoint list",
         summary: "List endpoints as that VM sees them",
         example: "azureshunt endpoint list",
         needsTarget: true,
-        run: ctx => listing(ctx, ENDPOINTS),
+        run: ctx => showList(ctx, ENDPOINTS),
     },
     {
         usage: "vm list",
         summary: "List the entry VMs and the revision that each has in force",
         example: "azureshunt vm list",
         needsTarget: true,
-        run: ctx => listing(ctx, VMS),
+        run: ctx => showList(ctx, VMS),
     },
     {
         usage: "status",
         summary: "Show the VM that was asked and its revision",
         example: "azureshunt status --url http://10.0.0.1:7002",
         needsTarget: true,
-        run: ctx => shown(ctx, "/admin/v1/status"),
+        run: ctx => showAsYaml(ctx, "/admin/v1/status"),
     },
     {
         usage: "why <request>",
--- a/packages/cli/src/createCli.ts
+++ b/packages/cli/src/createCli.ts
@@ -15,10 +15,10 @@
     "  7  there is no such thing",
 ].join("\n");
 
-/** Runs one command with the arguments and options that the command line gives. */
+/** Called with the command, arguments and options of the parsed command line. */
 type RunCommand = (command: Command, args: readonly string[], options: Readonly<Record<string, unknown>>) => void;
 
-/** Declares all commands with their help. */
+/** Declares all commands, with their help texts. */
 export function createCli(run: RunCommand): CAC {
     const cli = cac("azureshunt");
     cli.option("--url <url>", "administration listener of any VM (AZURESHUNT_URL)");
@@ -30,7 +30,7 @@
         command.options?.forEach(({ flag, description }) => declared.option(flag, description));
         declared.action((...given: unknown[]) => {
             const options = given.at(-1) as Readonly<Record<string, unknown>>;
-            // Arguments that may be many come as one list.
+            // The parser passes a variadic argument as one array.
             run(command, given.slice(0, -1).flat().map(String), options);
         });
     });
--- a/packages/cli/src/exitCodes.ts
+++ b/packages/cli/src/exitCodes.ts
@@ -1,19 +1,19 @@
-/** Exit codes of the command-line tool, as its help and the operators' page list them. */
+/** Exit codes of the command-line tool. Its help and the operators' documentation list them as well. */
 const exitCodes = {
     done: 0,
     /** The daemon could not be reached, or failed. */
     failed: 1,
-    /** Wrong usage, or a file with faults. Nothing was sent. */
+    /** Usage error, or a file with faults. Nothing was sent. */
     usage: 2,
-    /** Refused: something else was accepted meanwhile. */
+    /** Refused, because another change was accepted in the meantime. */
     conflict: 3,
-    /** Accepted, and not in force everywhere within the wait. */
+    /** Accepted, but not in force on all VMs before the wait ended. */
     notEverywhere: 4,
-    /** Not known whether it took effect; running it again is safe. */
+    /** Unknown whether the change took effect; running the command again is safe. */
     notKnown: 5,
-    /** The key was refused. */
+    /** The administration key was refused. */
     key: 6,
-    /** There is no such thing. */
+    /** The requested item does not exist. */
     notFound: 7,
 } as const;
 
--- a/packages/cli/src/explain/LogLine.ts
+++ b/packages/cli/src/explain/LogLine.ts
@@ -1,6 +1,6 @@
 /** One line of a VM's log, parsed. */
 export type LogLine = {
-    /** Milliseconds since the epoch, on the VM's own time of day. */
+    /** Milliseconds since the epoch by the VM's own clock. */
     readonly time: number;
     readonly vm: string;
     readonly part: string;
--- a/packages/cli/src/explain/parseLogLine.ts
+++ b/packages/cli/src/explain/parseLogLine.ts
@@ -1,29 +1,37 @@
 import type { LogLine } from "./LogLine.js";
 
-/** Fields that every line has, and which do not tell one request from another. */
-const HEAD: ReadonlySet<string> = new Set(["time", "vm", "part", "msg", "level", "failureDomain", "incarnation"]);
+/** Fields that every line has; they are not specific to a request. */
+const COMMON_FIELDS: ReadonlySet<string> = new Set([
+    "time",
+    "vm",
+    "part",
+    "msg",
+    "level",
+    "failureDomain",
+    "incarnation",
+]);
 
-const parse = (text: string): unknown => {
+const parseJson = (text: string): unknown => {
     try {
         return JSON.parse(text);
     }
     catch {
-        // Other programs write to the same files; the caller counts what is no line of ours.
+        // Other programs write to the same files; the caller counts the lines that are not azureshunt's.
         return undefined;
     }
 };
 
 const isFields = (value: unknown): value is Record<string, unknown> => typeof value === "object" && value !== null;
 
-/** Reads one line of a log, whatever a collector has put before it; undefined where it is none of azureshunt's. */
+/** Parses a log line, ignoring any prefix that a log collector added; `undefined` if it is not azureshunt's. */
 export function parseLogLine(text: string): LogLine | undefined {
     const start = text.indexOf("{");
-    const read = start < 0 ? undefined : parse(text.slice(start));
-    if (!isFields(read)) {
+    const parsed = start < 0 ? undefined : parseJson(text.slice(start));
+    if (!isFields(parsed)) {
         return undefined;
     }
-    const { time, vm, part, msg } = read;
-    const fields = Object.fromEntries(Object.entries(read).filter(([name]) => !HEAD.has(name)));
+    const { time, vm, part, msg } = parsed;
+    const fields = Object.fromEntries(Object.entries(parsed).filter(([name]) => !COMMON_FIELDS.has(name)));
     return typeof time === "number" && typeof vm === "string" && typeof part === "string" && typeof msg === "string"
         ? { time, vm, part, msg, fields }
         : undefined;
--- a/packages/cli/src/findTarget.ts
+++ b/packages/cli/src/findTarget.ts
@@ -10,18 +10,19 @@
 import type { Target } from "./Target.js";
 
 const DEFAULT_FILE = ".azureshunt.yaml";
-/** Bits of a file's mode that let others than its owner at it. */
-const OTHERS = 0o077;
+/** Bits of a file's mode that grant access to anyone but its owner. */
+const GROUP_AND_OTHERS = 0o077;
 
 const ConfigFile = z.strictObject({ url: z.string().url().optional(), key: z.string().optional() });
 type ConfigFile = z.infer<typeof ConfigFile>;
 
-const text = (value: unknown): string | undefined => typeof value === "string" && value !== "" ? value : undefined;
+const nonEmptyText = (value: unknown): string | undefined =>
+    typeof value === "string" && value !== "" ? value : undefined;
 
 const readConfig = (file: string, isRequired: boolean): Either<CliFailure, ConfigFile> => {
     try {
         const { mode } = statSync(file);
-        if ((mode & OTHERS) !== 0) {
+        if ((mode & GROUP_AND_OTHERS) !== 0) {
             return Left(failure("usage", [`${file}: others can read it; allowed: mode 0600 (chmod 600 ${file})`]));
         }
         const parsed = ConfigFile.safeParse(parse(readFileSync(file, "utf8")));
@@ -35,20 +36,21 @@
 };
 
 /**
- * Finds address and key: flags go before the environment, and that before the file.
+ * Determines address and key of the target daemon. Flags take precedence over environment variables, and these over the
+ * configuration file.
  *
- * @param options `url`, `key` and `config` as given by flags
- * @param env AZURESHUNT_URL, AZURESHUNT_KEY, AZURESHUNT_CONFIG, HOME
+ * @param options parsed flags, of which `url`, `key` and `config` are used
+ * @param env environment variables, of which AZURESHUNT_URL, AZURESHUNT_KEY, AZURESHUNT_CONFIG and HOME are used
  */
 export function findTarget(
     options: Readonly<Record<string, unknown>>,
     env: Readonly<Record<string, string | undefined>>,
 ): Either<CliFailure, Target> {
-    const named = text(options["config"]) ?? text(env["AZURESHUNT_CONFIG"]);
-    const file = named ?? join(env["HOME"] ?? ".", DEFAULT_FILE);
-    return readConfig(file, named !== undefined).chain(config => {
-        const url = text(options["url"]) ?? text(env["AZURESHUNT_URL"]) ?? config.url;
-        const key = text(options["key"]) ?? text(env["AZURESHUNT_KEY"]) ?? config.key;
+    const givenFile = nonEmptyText(options["config"]) ?? nonEmptyText(env["AZURESHUNT_CONFIG"]);
+    const file = givenFile ?? join(env["HOME"] ?? ".", DEFAULT_FILE);
+    return readConfig(file, givenFile !== undefined).chain(config => {
+        const url = nonEmptyText(options["url"]) ?? nonEmptyText(env["AZURESHUNT_URL"]) ?? config.url;
+        const key = nonEmptyText(options["key"]) ?? nonEmptyText(env["AZURESHUNT_KEY"]) ?? config.key;
         if (url === undefined || key === undefined) {
             const missing = url === undefined
                 ? "address: give --url or AZURESHUNT_URL"
--- a/packages/cli/src/listRows.ts
+++ b/packages/cli/src/listRows.ts
@@ -1,4 +1,4 @@
-/** Gives a list of a daemon's answer as records. */
+/** Returns a list field of a daemon's answer as records; empty if the field is not a list. */
 export function listRows(
     body: Readonly<Record<string, unknown>>,
     field: string,
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -1,4 +1,4 @@
-/** The program `azureshunt`. Its exit codes are listed in `exitCodes`. */
+/** Entry point of the command-line tool `azureshunt`. See `exitCodes` for its exit codes. */
 import { runCli } from "./runCli.js";
 
 process.exitCode = await runCli(process.argv.slice(2), {
--- a/packages/cli/src/readText.ts
+++ b/packages/cli/src/readText.ts
@@ -5,7 +5,7 @@
 import type { CliFailure } from "./CliFailure.js";
 import { failure } from "./failure.js";
 
-/** Reads a file that the command line names. */
+/** Reads a file given on the command line. */
 export function readText(file: string): Either<CliFailure, string> {
     try {
         return Right(readFileSync(file, "utf8"));
--- a/packages/cli/src/noteFaults.ts
+++ b/packages/cli/src/releaseNoteFailure.ts
@@ -3,7 +3,7 @@
 import type { CliFailure } from "./CliFailure.js";
 import { failure } from "./failure.js";
 
-/** A fault of a release note as the parser or a daemon names it. */
+/** A fault of a release note as reported by the parser or a daemon. */
 type Fault = {
     readonly path?: FieldPath | string;
     readonly line?: number;
@@ -21,7 +21,7 @@
     return `${place}: ${path === "" ? "document" : path}: found ${fault.found}; allowed: ${fault.allowed}`;
 };
 
-/** Names all faults of a release note, one line each with file, line and column. */
-export function noteFaults(file: string, faults: readonly (Fault | string)[]): CliFailure {
+/** Creates the failure for an invalid release note: one line per fault, with file, line and column. */
+export function releaseNoteFailure(file: string, faults: readonly (Fault | string)[]): CliFailure {
     return failure("usage", faults.map(fault => lineOf(file, fault)), { kind: "invalid", faults });
 }
--- a/packages/cli/src/runCli.ts
+++ b/packages/cli/src/runCli.ts
@@ -15,7 +15,7 @@
 const COLOURS = { green: 32, red: 31, yellow: 33 } as const;
 const SINGLE_OPTIONS = ["url", "key", "config", "wait", "organisation", "id", "interval", "count"];
 
-/** Where the tool reads its environment and writes to. */
+/** Environment variables and output streams of the tool. */
 type CliShell = {
     readonly env: Readonly<Record<string, string | undefined>>;
     readonly isTerminal: boolean;
@@ -23,12 +23,16 @@
     readonly err: (line: string) => void;
 };
 
-type Chosen = { readonly command: Command; readonly args: readonly string[]; readonly options: CliContext["options"]; };
+type ParsedCommand = {
+    readonly command: Command;
+    readonly args: readonly string[];
+    readonly options: CliContext["options"];
+};
 
 const nameOf = (command: Command): string => command.usage.replace(/ <.*/, "");
 
-/** The words of a command become one argument, as the parser knows commands of one word only. */
-const joined = (argv: readonly string[]): readonly string[] => {
+/** Joins the two words of a command into one argument, because the parser only supports commands of one word. */
+const joinCommandWords = (argv: readonly string[]): readonly string[] => {
     const [first = "", second = "", ...rest] = argv;
     const isCommand = commands.some(command => nameOf(command) === `${first} ${second}`);
     return isCommand ? [`${first} ${second}`, ...rest] : argv;
@@ -37,12 +41,12 @@
 const repeatedOption = (options: CliContext["options"]): string | undefined =>
     SINGLE_OPTIONS.find(name => Array.isArray(options[name]));
 
-const runChosen = (
-    chosen: Chosen,
+const runCommand = (
+    parsed: ParsedCommand,
     argv: readonly string[],
     shell: CliShell,
 ): EitherAsync<CliFailure, CliOutput> => {
-    const { command, args, options } = chosen;
+    const { command, args, options } = parsed;
     const context = (target: CliContext["target"]): CliContext => ({
         args,
         argv,
@@ -50,7 +54,7 @@
         target,
         now: () => performance.now(),
         sleep: ms => sleep(ms),
-        say: shell.out,
+        printLine: shell.out,
         paint: (text, colour) => shell.isTerminal ? `\u001b[${COLOURS[colour]}m${text}\u001b[0m` : text,
     });
     const repeated = repeatedOption(options);
@@ -76,7 +80,7 @@
 /**
  * Runs one command line.
  *
- * @param argv arguments without the program's name
+ * @param argv arguments, without the program's name
  * @returns the exit code, one of `exitCodes`
  */
 export async function runCli(argv: readonly string[], shell: CliShell): Promise<number> {
@@ -84,12 +88,12 @@
         shell.err(`azureshunt: ${message}`);
         return exitCodes.usage;
     };
-    const chosen: { value?: Chosen; } = {};
+    const parsed: { value?: ParsedCommand; } = {};
     const cli = createCli((command, args, options) => {
-        chosen.value = { command, args, options };
+        parsed.value = { command, args, options };
     });
     try {
-        const { options } = cli.parse(["node", "azureshunt", ...joined(argv)], { run: false });
+        const { options } = cli.parse(["node", "azureshunt", ...joinCommandWords(argv)], { run: false });
         if (options["help"] === true || options["version"] === true) {
             return exitCodes.done;
         }
@@ -98,17 +102,17 @@
     catch (err) {
         return usage(err instanceof Error ? err.message : String(err));
     }
-    const { value } = chosen;
+    const { value } = parsed;
     if (value === undefined) {
         return usage(
             `found ${JSON.stringify(argv.slice(0, 2).join(" "))}; allowed: ${commands.map(nameOf).join(", ")}`,
         );
     }
     const isJson = value.options["json"] === true;
-    const result = await runChosen(value, argv, shell);
+    const result = await runCommand(value, argv, shell);
     return result.caseOf({
         Left: why => {
-            // A command that throws ends here as well.
+            // A command that throws also ends here.
             const known = why instanceof Error ? failure("failed", [why.message]) : why;
             return print(shell, isJson, known, line => shell.err(`azureshunt: ${line}`));
         },
--- a/packages/cli/src/inForceEverywhere.ts
+++ b/packages/cli/src/waitUntilInForce.ts
@@ -7,27 +7,29 @@
 
 const POLL_MS = 200;
 
-/** Where a revision is not in force yet; both lists are empty once it is in force everywhere. */
+/** Where a revision is not in force yet; both lists are empty once it is in force on all VMs. */
 type Missing = { readonly vms: readonly string[]; readonly failureDomains: readonly string[]; };
 
 const missingIn = (body: Readonly<Record<string, unknown>>, revision: number): Missing => {
-    const behind = listRows(body, "vms").filter(vm => typeof vm["revision"] !== "number" || vm["revision"] < revision);
+    const outdated = listRows(body, "vms").filter(vm =>
+        typeof vm["revision"] !== "number" || vm["revision"] < revision
+    );
     return {
-        vms: behind.map(vm => String(vm["vm"])),
-        failureDomains: [...new Set(behind.map(vm => String(vm["failureDomain"])))],
+        vms: outdated.map(vm => String(vm["vm"])),
+        failureDomains: [...new Set(outdated.map(vm => String(vm["failureDomain"])))],
     };
 };
 
-/** Waits until a revision is in force on every VM, or until the wait is over. */
-export function inForceEverywhere(ctx: CliContext, revision: number, waitMs: number): EitherAsync<CliFailure, Missing> {
+/** Polls until a revision is in force on all VMs or `waitMs` have elapsed; returns where it is still missing. */
+export function waitUntilInForce(ctx: CliContext, revision: number, waitMs: number): EitherAsync<CliFailure, Missing> {
     const giveUpAt = ctx.now() + waitMs;
-    const look = (): EitherAsync<CliFailure, Missing> =>
+    const poll = (): EitherAsync<CliFailure, Missing> =>
         callAdmin(ctx, "GET", "/admin/v1/status?fleet=1").chain(({ body }) => {
             const missing = missingIn(body, revision);
             const isOver = missing.vms.length === 0 || ctx.now() >= giveUpAt;
             return isOver
                 ? EitherAsync.liftEither(Right(missing))
-                : EitherAsync<CliFailure, void>(() => ctx.sleep(POLL_MS)).chain(look);
+                : EitherAsync<CliFailure, void>(() => ctx.sleep(POLL_MS)).chain(poll);
         });
-    return look();
+    return poll();
 }
--- a/packages/cli/src/whyRequest.ts
+++ b/packages/cli/src/whyRequest.ts
@@ -14,20 +14,20 @@
 
 const fieldsOf = (value: unknown): Fields => typeof value === "object" && value !== null ? value as Fields : {};
 
-const millis = (value: unknown): string => typeof value === "number" ? value.toFixed(1) : "-";
+const formatMs = (value: unknown): string => typeof value === "number" ? value.toFixed(1) : "-";
 
 const choiceLines = (choice: Fields, index: number): readonly string[] => {
     const rows = listRows(choice, "candidates").map(candidate => {
         const estimate = fieldsOf(candidate["estimate"]);
         return [
             candidate["endpoint"],
-            ...ESTIMATES.map(part => millis(estimate[part])),
+            ...ESTIMATES.map(part => formatMs(estimate[part])),
             candidate["matchedPieces"],
             candidate["endpoint"] === choice["chosen"] ? "chosen" : "",
         ];
     });
     const heading = `choice ${index + 1}: ${String(choice["chosen"])} after ${
-        millis(choice["waitedMs"])
+        formatMs(choice["waitedMs"])
     } ms in the queue`;
     return ["", heading, ...table(HEADING, rows)];
 };
@@ -38,7 +38,7 @@
     return [at, String(event["what"]), ...values].join("  ");
 };
 
-/** Shows what a VM remembers of a request: what happened, and each choice with its candidates' estimates. */
+/** Shows the events of a request that a VM has in memory, and each placement choice with its candidates' estimates. */
 export function whyRequest(ctx: CliContext): EitherAsync<CliFailure, CliOutput> {
     const path = `/admin/v1/requests/${encodeURIComponent(ctx.args[0] ?? "")}`;
     return callAdmin(ctx, "GET", path).map(({ body }) => ({
