--- a/packages/daemon/src/Settings.ts
+++ b/packages/daemon/src/Settings.ts
@@ -43,11 +43,11 @@
         connections: z.number().int().positive().default(4_096),
         /** Maximum time until a request starts, if the caller sets no deadline. */
         deadlineMs: z.number().int().positive().default(10_000),
-        /** Time without any byte after which a stream or connection counts as dead. */
+        /** Time of silence on a stream or connection after which it counts as dead. */
         idleMs: z.number().int().positive().default(2_000),
         /** Maximum time that a graceful shutdown waits for running requests. */
         drainMs: z.number().int().positive().default(300_000),
-        /** Time for which a stopping daemon reports that it is not ready, but still accepts connections. */
+        /** Time for which a stopping daemon reports that it is not ready, but still accepts new connections and requests. */
         announceMs: z.number().int().min(0).default(3_000),
     }).default({}),
     /** Weights orders to the engines of the failure domain. */
@@ -57,7 +57,7 @@
         /** Timeout of one order. */
         orderMs: z.number().int().positive().default(1_000),
         pollMs: z.number().int().positive().default(500),
-        /** Maximum number of engines that load weights at the same time in a failure domain. */
+        /** Maximum number of concurrent loads of weights in a failure domain. */
         concurrentLoads: z.number().int().positive().default(2),
     }).default({}),
     tls: z.strictObject({ caller: Tls.optional(), admin: Tls.optional(), peer: Tls.optional() }).default({}),
--- a/packages/daemon/src/admin/findRoute.ts
+++ b/packages/daemon/src/admin/findRoute.ts
@@ -20,14 +20,14 @@
 };
 
 const paramsOf = (pattern: string, path: string): Readonly<Record<string, string>> | undefined => {
-    const [patternParts, found] = [pattern.split("/"), path.split("/").map(decoded)];
-    const isMatch = patternParts.length === found.length
-        && patternParts.every((part, i) => part.startsWith("{") ? Boolean(found[i]) : part === found[i]);
+    const [patternParts, pathParts] = [pattern.split("/"), path.split("/").map(decoded)];
+    const isMatch = patternParts.length === pathParts.length
+        && patternParts.every((part, i) => part.startsWith("{") ? Boolean(pathParts[i]) : part === pathParts[i]);
     if (!isMatch) {
         return undefined;
     }
     const entries = patternParts.flatMap((part, i) =>
-        part.startsWith("{") ? [[part.slice(1, -1), found[i] ?? ""]] : []
+        part.startsWith("{") ? [[part.slice(1, -1), pathParts[i] ?? ""]] : []
     );
     return Object.fromEntries(entries) as Record<string, string>;
 };
--- a/packages/daemon/src/membership/HomePort.ts
+++ b/packages/daemon/src/membership/HomePort.ts
@@ -10,7 +10,7 @@
     /** Registers a function that is called when this VM must ask the VM `of` for a hand-over. */
     readonly onHandOverDue: (listener: (of: VmId, joinedAt: number) => void) => void;
     /**
-     * Appends a record to the log that this VM leaves.
+     * Announces to all VMs, by a record in the log, that this VM leaves.
      *
      * @returns whether this daemon has read that record from the log before the timeout
      */
--- a/packages/daemon/src/startDaemon.ts
+++ b/packages/daemon/src/startDaemon.ts
@@ -27,7 +27,7 @@
 
 /** A running daemon. */
 type Daemon = {
-    /** Refuses new requests, waits for running ones, hands allowances over to other VMs, and stops all parts. */
+    /** Refuses new requests, waits for running ones, hands allowances over, and stops all parts. */
     readonly shutDown: () => Promise<void>;
 };
 
