--- a/packages/daemon/src/__tests__/fakes/FakePeers.ts
+++ b/packages/daemon/src/__tests__/fakes/FakePeers.ts
@@ -8,20 +8,20 @@
 
 type Handler = Parameters<PeerPort["handle"]>[1];
 
-/** Bodies pass a codec between real daemons, so neither side sees what the other changes later. */
+/** Copies a body, as the codec between real daemons does, so that neither side sees later changes of the other. */
 const copied = (body: object): object => structuredClone(body);
 
-/** Daemons of one process that exchange messages without a network. */
+/** Lets daemons of one process exchange messages without a network. */
 export class FakePeers {
     readonly #handlers = new Map<VmId, Map<string, Handler>>();
-    /** VMs that nobody reaches. */
+    /** VMs that can neither send nor receive messages. */
     readonly cut = new Set<VmId>();
-    /** How long a message is under way. */
+    /** Delay of each message. */
     delayMs = 0;
-    /** Whether a message is lost. */
+    /** Returns whether a message is lost. */
     loses: (to: VmId, kind: string, body: object) => boolean = () => false;
 
-    /** The peer port of one daemon. */
+    /** Creates the peer port of one daemon. */
     portOf(vm: VmId): PeerPort {
         const own = new Map<string, Handler>();
         this.#handlers.set(vm, own);
--- a/packages/daemon/src/__tests__/fakes/fakeContext.ts
+++ b/packages/daemon/src/__tests__/fakes/fakeContext.ts
@@ -9,10 +9,10 @@
 import { Settings } from "../../Settings.js";
 import { FakePeers } from "./FakePeers.js";
 
-/** A daemon's context without a network of its own, whose configuration the test declares. */
+/** A daemon's context without a network; the test declares its configuration. */
 type FakeContext = {
     readonly ctx: DaemonContext;
-    /** Puts a configuration with these endpoints in force. */
+    /** Applies a configuration with these endpoints, at the next revision. */
     readonly declare: (endpoints: readonly EndpointSpec[]) => void;
 };
 
@@ -26,7 +26,7 @@
     withdrawnKeys: new Map(),
 });
 
-/** Makes a context for tests of one part of the daemon. */
+/** Creates a context for tests of one part of the daemon. */
 export function fakeContext(name = "vm-1", peers = new FakePeers()): FakeContext {
     const vm = VmId.parse(name);
     const failureDomain = FailureDomain.parse("fd-1");
--- a/packages/daemon/src/__tests__/fakes/modelCall.ts
+++ b/packages/daemon/src/__tests__/fakes/modelCall.ts
@@ -6,7 +6,7 @@
 const PIECE_TOKENS = 4_096;
 const OTHER_TOKENS = 100;
 
-/** A call for a model with an empty prompt and no deadline, but for what the test says of it. */
+/** Creates a call to a model with an empty prompt and no deadline; `target` and `more` override its fields. */
 export function modelCall(id: string, target: Partial<ModelCall> = {}, more: Partial<Call> = {}): Call {
     const pieces = target.pieces ?? [];
     return {
--- a/packages/daemon/src/__tests__/unit/dispatchModel.test.ts
+++ b/packages/daemon/src/__tests__/unit/dispatchModel.test.ts
@@ -26,7 +26,8 @@
         })
     }\n\n`;
 
-// The chooser never learns how fast engines are, and estimates of the time to the first token stay guesses.
+// Without the report, the placement never measures how fast engines are, and its estimates of the time to first token stay
+// guesses.
 test("dispatch: the chooser is told of an answer's first token, once", async t => {
     const server = createServer((_req, res) => {
         res.writeHead(200, { "x-dispatch-id": DISPATCH });
@@ -39,15 +40,15 @@
         await dispatcher.destroy();
         server.close();
     });
-    const told: string[] = [];
+    const reported: string[] = [];
     const placement = {
         dispatchId: DISPATCH,
         endpoint: "engine",
         url: `http://127.0.0.1:${port}`,
         estimate: 0,
-        started: () => told.push("started"),
-        firstToken: () => told.push("first token"),
-        end: (outcome: string) => told.push(outcome),
+        started: () => reported.push("started"),
+        firstToken: () => reported.push("first token"),
+        end: (outcome: string) => reported.push(outcome),
     } as unknown as Placement;
     const { ctx } = fakeContext();
     const parts = {
@@ -59,14 +60,14 @@
             running: () => ({ answering: () => undefined, end: () => Promise.resolve() }),
         },
         connections: { pooled: () => dispatcher },
-        tries: { arrive: () => ({ repeatable: true, deadline: Infinity, tries: 0, next: 0, ran: "no" }) },
+        tries: { onArrival: () => ({ repeatable: true, deadline: Infinity, tries: 0, next: 0, ran: "no" }) },
         trace: { add: () => undefined },
         recheck: (call: Call) => Right(call),
     } as unknown as DispatchParts;
     const target = { kind: "model", path: "/v1/completions", body: {}, promptTokens: 1 } as unknown as ModelCall;
     const call = { id: "request", deadline: Infinity, target, signal: new AbortController().signal } as unknown as Call;
-    const answer = { piece: () => Promise.resolve(), complete: () => undefined } as unknown as ModelAnswer;
+    const answer = { write: () => Promise.resolve(), complete: () => undefined } as unknown as ModelAnswer;
     const used = await dispatchModel(parts, call, target, answer);
     t.is(used.extract(), 1 + TOKENS);
-    t.deepEqual(told, ["started", "first token", "complete"]);
+    t.deepEqual(reported, ["started", "first token", "complete"]);
 });
--- a/packages/daemon/src/__tests__/unit/intentPort.test.ts
+++ b/packages/daemon/src/__tests__/unit/intentPort.test.ts
@@ -13,15 +13,15 @@
 import { createFakeLog } from "../support/createFakeLog.js";
 
 type Handler = Parameters<PeerPort["handle"]>[1];
-type Fleet = ReturnType<typeof createFleet>;
+type Daemons = ReturnType<typeof createDaemons>;
 
 const ANSWER = { status: 200, contentType: "application/json", body: "e30=" };
 
-/** Daemons that share a log and reach one another by name. */
-function createFleet() {
+/** Creates daemons that share a log and reach one another by name. */
+function createDaemons() {
     const log = createFakeLog();
     const handlers = new Map<string, Handler>();
-    const cut = new Set<string>();
+    const unreachable = new Set<string>();
     const clock = { ms: 0 };
     const vms = ["vm1", "vm2", "vm3"].map(name => VmId.parse(name));
     const members = vms.map(vm => ({
@@ -32,12 +32,12 @@
         admin: "",
         incarnation: undefined,
     }));
-    const boot = (name: string, run = "1") => {
+    const boot = (name: string, suffix = "1") => {
         const vm = VmId.parse(name);
         const ctx = {
             settings: { vm },
-            incarnation: Incarnation.parse(`${name}-${run}`),
-            system: start(`test-${name}-${run}-${Math.random()}`),
+            incarnation: Incarnation.parse(`${name}-${suffix}`),
+            system: start(`test-${name}-${suffix}-${Math.random()}`),
             clock: { now: () => clock.ms, epoch: () => 0 },
             logger: () => pino({ level: "silent" }),
             metrics: { count: () => undefined, gauge: () => () => undefined },
@@ -50,13 +50,15 @@
                 },
                 exchange: async (to: string, _kind: string, body: object) => {
                     const answer = handlers.get(to);
-                    return cut.has(to) || answer === undefined ? Left(new Error("cut")) : Right(await answer(body, vm));
+                    return unreachable.has(to) || answer === undefined
+                        ? Left(new Error("cut"))
+                        : Right(await answer(body, vm));
                 },
             },
         } as unknown as DaemonContext;
         return createIntentPort(ctx);
     };
-    return { log, cut, clock, boot };
+    return { log, unreachable, clock, boot };
 }
 
 const callOf = (key: string, body = "hold"): Call => ({
@@ -79,44 +81,45 @@
     signal: new AbortController().signal,
 });
 
-type Port = ReturnType<Fleet["boot"]>;
+type Port = ReturnType<Daemons["boot"]>;
 type Dispatching = Extract<IntentAdmission, { readonly kind: "dispatch"; }>;
 
 const admit = async (port: Port, key = "b1", body?: string): Promise<string> =>
     (await port.admit(callOf(key, body))).caseOf({
-        Left: refused => `${refused.kind} ran=${refused.ran}`,
+        Left: refusal => `${refusal.kind} ran=${refusal.ran}`,
         Right: ({ kind }) => kind,
     });
 const admitToDispatch = async (port: Port): Promise<Dispatching> =>
     (await port.admit(callOf("b1"))).unsafeCoerce() as Dispatching;
 
-// A call that may not be repeated runs twice, or its caller is told what is not true, as daemons die and the log fails.
+// When daemons die or the log fails, a call that may not be repeated could run twice, or its caller could get a wrong
+// result.
 const cases: readonly {
     readonly name: string;
-    readonly play: (fleet: Fleet) => Promise<readonly string[]>;
-    readonly told: readonly string[];
+    readonly run: (daemons: Daemons) => Promise<readonly string[]>;
+    readonly expected: readonly string[];
 }[] = [
     {
-        name: "three daemons at once: one dispatches",
-        play: async ({ boot }) => {
+        name: "three daemons admit a key at once: one dispatches",
+        run: async ({ boot }) => {
             const all = await Promise.all(["vm1", "vm2", "vm3"].map(name => admit(boot(name))));
             return [...all].sort();
         },
-        told: ["dispatch", "intent-running ran=maybe", "intent-running ran=maybe"],
+        expected: ["dispatch", "intent-running ran=maybe", "intent-running ran=maybe"],
     },
     {
-        name: "a repetition elsewhere gets the recorded answer",
-        play: async ({ boot }) => {
+        name: "a repetition at another daemon gets the recorded answer",
+        run: async ({ boot }) => {
             const first = await admitToDispatch(boot("vm1"));
             first.begin();
             await first.complete(ANSWER);
             return [await admit(boot("vm2"))];
         },
-        told: ["recorded"],
+        expected: ["recorded"],
     },
     {
-        name: "the log is down when the request ends: the owner answers for it",
-        play: async ({ boot, log }) => {
+        name: "the log is unreachable when the request ends: the owner replies with the outcome",
+        run: async ({ boot, log }) => {
             const [vm1, vm2] = [boot("vm1"), boot("vm2")];
             const first = await admitToDispatch(vm1);
             first.begin();
@@ -124,102 +127,102 @@
             await first.complete(ANSWER);
             return [await admit(vm2)];
         },
-        told: ["recorded"],
+        expected: ["recorded"],
     },
     {
-        name: "another body under the same key",
-        play: async ({ boot }) => {
+        name: "another body under the same key: refused",
+        run: async ({ boot }) => {
             const vm1 = boot("vm1");
             await admit(vm1);
             return [await admit(vm1, "b1", "other"), await admit(boot("vm2"), "b1", "other")];
         },
-        told: ["intent-key-reused ran=no", "intent-key-reused ran=no"],
+        expected: ["intent-key-reused ran=no", "intent-key-reused ran=no"],
     },
     {
-        name: "the owner withdraws: the next one dispatches, and the owner no more",
-        play: async ({ boot }) => {
+        name: "the owner withdraws: another daemon dispatches, and the owner may not begin",
+        run: async ({ boot }) => {
             const first = await admitToDispatch(boot("vm1"));
             await first.withdraw();
             return [await admit(boot("vm2")), String(first.begin())];
         },
-        told: ["dispatch", "false"],
+        expected: ["dispatch", "false"],
     },
     {
         name: "the owner has begun: it can't withdraw",
-        play: async ({ boot }) => {
+        run: async ({ boot }) => {
             const first = await admitToDispatch(boot("vm1"));
             const begun = first.begin();
             await first.withdraw();
             return [String(begun), await admit(boot("vm2"))];
         },
-        told: ["true", "intent-running ran=maybe"],
+        expected: ["true", "intent-running ran=maybe"],
     },
     {
-        name: "the owner can't be reached: nobody else dispatches",
-        play: async ({ boot, cut }) => {
+        name: "the owner can't be reached: no other daemon dispatches",
+        run: async ({ boot, unreachable }) => {
             await admit(boot("vm1"));
-            cut.add("vm1");
+            unreachable.add("vm1");
             return [await admit(boot("vm2"))];
         },
-        told: ["intent-running ran=maybe"],
+        expected: ["intent-running ran=maybe"],
     },
     {
-        name: "the owner died between intent and dispatch and is back",
-        play: async ({ boot }) => {
+        name: "the owner restarted between intent and dispatch: the outcome is unknown",
+        run: async ({ boot }) => {
             const first = boot("vm1");
             await admit(first);
             first.stop();
             return [await admit(boot("vm1", "2")), await admit(boot("vm2"))];
         },
-        told: ["intent-outcome-unknown ran=maybe", "intent-outcome-unknown ran=maybe"],
+        expected: ["intent-outcome-unknown ran=maybe", "intent-outcome-unknown ran=maybe"],
     },
     {
-        name: "the owner is paused for long before it sends",
-        play: async ({ boot, clock }) => {
+        name: "the owner is suspended for too long before it sends: it may not begin",
+        run: async ({ boot, clock }) => {
             const first = await admitToDispatch(boot("vm1"));
             clock.ms = INTENT_LIMITS.beginMs;
             return [String(first.begin())];
         },
-        told: ["false"],
+        expected: ["false"],
     },
     {
-        name: "the log takes the intent and loses the answer",
-        play: async ({ boot, log }) => {
+        name: "the answer to the append is lost: the intent is read back and dispatched",
+        run: async ({ boot, log }) => {
             log.failNext("lost");
             return [await admit(boot("vm1")), await admit(boot("vm2"))];
         },
-        told: ["dispatch", "intent-running ran=maybe"],
+        expected: ["dispatch", "intent-running ran=maybe"],
     },
     {
-        name: "the log refuses the intent",
-        play: async ({ boot, log }) => {
+        name: "the append fails: refused, and the key stays free",
+        run: async ({ boot, log }) => {
             log.failNext("unreachable");
             return [await admit(boot("vm1")), await admit(boot("vm2"))];
         },
-        told: ["log-unavailable ran=no", "dispatch"],
+        expected: ["log-unavailable ran=no", "dispatch"],
     },
     {
-        name: "the log is down",
-        play: async ({ boot, log }) => {
+        name: "the log is unreachable: refused",
+        run: async ({ boot, log }) => {
             log.setDown(true);
             return [await admit(boot("vm1"))];
         },
-        told: ["log-unavailable ran=no"],
+        expected: ["log-unavailable ran=no"],
     },
     {
-        name: "the outcome is lost: nobody runs it again",
-        play: async ({ boot }) => {
+        name: "the outcome is lost: no daemon runs the request again",
+        run: async ({ boot }) => {
             const first = await admitToDispatch(boot("vm1"));
             first.begin();
             await first.complete(undefined);
             return [await admit(boot("vm2"))];
         },
-        told: ["intent-outcome-unknown ran=maybe"],
+        expected: ["intent-outcome-unknown ran=maybe"],
     },
 ];
 
-cases.forEach(({ name, play, told }) =>
+cases.forEach(({ name, run, expected }) =>
     test(`intent port: ${name}`, async t => {
-        t.deepEqual(await play(createFleet()), told);
+        t.deepEqual(await run(createDaemons()), expected);
     })
 );
--- a/packages/daemon/src/__tests__/unit/placeAdmitted.test.ts
+++ b/packages/daemon/src/__tests__/unit/placeAdmitted.test.ts
@@ -11,48 +11,48 @@
 
 type Case = {
     readonly name: string;
-    /** What the other VMs say to one asking after the other. */
+    /** Results of the admission checks, in order. */
     readonly admissions: readonly Admission[];
     readonly deadline: number;
     readonly placed: string;
-    /** Endpoints that were chosen and given back. */
-    readonly givenBack: readonly string[];
+    /** Endpoints that were chosen and then released. */
+    readonly released: readonly string[];
 };
 
-// A suspect that is sent out against what other VMs run brings down one more engine.
+// A suspect that is sent to an endpoint without regard to what other VMs run could crash one more engine.
 const cases: readonly Case[] = [
-    { name: "admitted", admissions: ["admitted"], deadline: Infinity, placed: "engine-1", givenBack: [] },
+    { name: "admitted", admissions: ["admitted"], deadline: Infinity, placed: "engine-1", released: [] },
     {
-        name: "it goes elsewhere where another suspect is",
+        name: "tries another endpoint while another suspect runs at the chosen one",
         admissions: ["endpoint-busy", "endpoint-busy", "admitted"],
         deadline: Infinity,
         placed: "engine-3",
-        givenBack: ["engine-1", "engine-2"],
+        released: ["engine-1", "engine-2"],
     },
     {
-        name: "it waits while it runs at another VM",
+        name: "waits while the request runs at another VM",
         admissions: ["request-busy", "admitted"],
         deadline: Infinity,
         placed: "engine-1",
-        givenBack: ["engine-1"],
+        released: ["engine-1"],
     },
     {
-        name: "it is refused once its deadline has passed",
+        name: "refused once its deadline has expired",
         admissions: ["request-busy"],
         deadline: 0,
         placed: "deadline-exceeded",
-        givenBack: ["engine-1"],
+        released: ["engine-1"],
     },
 ];
 
-cases.forEach(({ name, admissions, deadline, placed, givenBack }) =>
+cases.forEach(({ name, admissions, deadline, placed, released }) =>
     test(`placing a suspect: ${name}`, async t => {
-        const left = [...admissions];
+        const remaining = [...admissions];
         const ended: string[] = [];
         const parts = {
             ctx: { clock: { now: () => 1 }, release: { subscribe: () => () => undefined } },
             recheck: (call: Call) => Right(call),
-            suspects: { check: (call: Call) => Right(call), admit: async () => left.shift() },
+            suspects: { check: (call: Call) => Right(call), admit: async () => remaining.shift() },
             placement: {
                 place: async (_call: Call, tried: readonly EndpointName[]) => {
                     const endpoint = ENDPOINTS.find(each => !tried.includes(each));
@@ -69,6 +69,6 @@
             Right: placement => placement.endpoint,
         });
         t.is(found, placed);
-        t.deepEqual(ended, givenBack);
+        t.deepEqual(ended, released);
     })
 );
--- a/packages/daemon/src/__tests__/unit/placeTry.test.ts
+++ b/packages/daemon/src/__tests__/unit/placeTry.test.ts
@@ -7,8 +7,8 @@
 import type { Call } from "../../ports/Call.js";
 import type { Placement } from "../../ports/Placement.js";
 
-/** A wait for an endpoint that the test ends; it gives up when the call's signal says so. */
-const createWorld = () => {
+/** Creates a placement that waits until the test grants an endpoint, or until the call's signal is aborted. */
+const createWaitingPlacement = () => {
     const keys = { valid: true };
     const listeners = new Set<() => void>();
     const ended: string[] = [];
@@ -36,51 +36,56 @@
     const withdraw = (): void => {
         keys.valid = false;
     };
-    const announce = (): void => listeners.forEach(listener => listener());
-    return { parts, withdraw, announce, ended, grant: () => wait.grant(), listeners };
+    const notify = (): void => listeners.forEach(listener => listener());
+    return { parts, withdraw, notify, ended, grant: () => wait.grant(), listeners };
 };
 
-type World = ReturnType<typeof createWorld>;
+type WaitingPlacement = ReturnType<typeof createWaitingPlacement>;
 
 const call = { signal: new AbortController().signal } as Call;
 
-// A key is withdrawn while its request waits for an endpoint, and the request is sent out all the same.
+// A request whose key is withdrawn while it waits for an endpoint must not be sent.
 [
-    { name: "valid throughout", during: (world: World) => world.grant(), refused: undefined, ended: [] },
     {
-        name: "withdrawn while it waits: it waits no longer",
-        during: (world: World) => {
-            world.withdraw();
-            world.announce();
+        name: "key valid throughout",
+        during: (waiting: WaitingPlacement) => waiting.grant(),
+        refused: undefined,
+        ended: [],
+    },
+    {
+        name: "key withdrawn during the wait: the wait ends",
+        during: (waiting: WaitingPlacement) => {
+            waiting.withdraw();
+            waiting.notify();
         },
         refused: "withdrawn-key",
         ended: [],
     },
     {
-        name: "withdrawn right before the grant: the endpoint is given back",
-        during: (world: World) => {
-            world.withdraw();
-            world.grant();
+        name: "key withdrawn right before the grant: the endpoint is released",
+        during: (waiting: WaitingPlacement) => {
+            waiting.withdraw();
+            waiting.grant();
         },
         refused: "withdrawn-key",
         ended: ["cancelled"],
     },
 ].forEach(({ name, during, refused, ended }) =>
     test(`placing a try: ${name}`, async t => {
-        const world = createWorld();
-        const placing = placeTry(world.parts, call, []);
-        during(world);
+        const waiting = createWaitingPlacement();
+        const placing = placeTry(waiting.parts, call, []);
+        during(waiting);
         const placed = await placing;
         const failure = placed.caseOf({ Left: end => end, Right: () => undefined });
         t.is(failure !== undefined && "refusal" in failure ? failure.refusal.kind : undefined, refused as undefined);
-        t.deepEqual(world.ended, ended);
-        t.is(world.listeners.size, 0, "nothing is left subscribed");
+        t.deepEqual(waiting.ended, ended);
+        t.is(waiting.listeners.size, 0, "no listener stays subscribed");
     })
 );
 
-test("placing a try: a key withdrawn before asks for no endpoint", async t => {
-    const world = createWorld();
-    world.withdraw();
-    const placed = await placeTry(world.parts, call, []);
+test("placing a try: key withdrawn before: no endpoint is requested", async t => {
+    const waiting = createWaitingPlacement();
+    waiting.withdraw();
+    const placed = await placeTry(waiting.parts, call, []);
     t.is(placed.caseOf({ Left: ({ kind }) => kind, Right: () => undefined }), "stopped");
 });
--- a/packages/daemon/src/dispatch/DispatchParts.ts
+++ b/packages/daemon/src/dispatch/DispatchParts.ts
@@ -7,16 +7,16 @@
 import type { SuspectPort } from "../ports/SuspectPort.js";
 import type { TracePort } from "../ports/TracePort.js";
 import type { EndpointConnections } from "./EndpointConnections.js";
-import type { Tries } from "./Tries.js";
+import type { RetryPolicy } from "./RetryPolicy.js";
 
-/** What sending requests to endpoints needs. */
+/** Dependencies of request dispatch. */
 export type DispatchParts = {
     readonly ctx: DaemonContext;
     readonly placement: PlacementPort;
     readonly suspects: SuspectPort;
     readonly connections: EndpointConnections;
-    readonly tries: Tries;
+    readonly tries: RetryPolicy;
     readonly trace: TracePort;
-    /** Checks again, right before each try, that the call's key is still valid. */
+    /** Checks that the call's key is still valid; called right before each try. Left with `withdrawn-key`. */
     readonly recheck: (call: Call) => Either<Refusal, Call>;
 };
--- a/packages/daemon/src/dispatch/DispatchPermit.ts
+++ b/packages/daemon/src/dispatch/DispatchPermit.ts
@@ -1,7 +1,7 @@
-/** The permission to send a call that may not be repeated. */
+/** Permission to send a call that may not be repeated. */
 export type DispatchPermit = {
-    /** To be called right before a first byte can go out; false when it must not. */
+    /** Called right before the first byte can be sent; returns false if the call must not be sent. */
     readonly begin: () => boolean;
-    /** To be called after a try that surely did not run the call; `begin` may then be asked again. */
+    /** Called after a try that certainly did not run the call; `begin` may then be called again. */
     readonly notRun: () => void;
 };
--- a/packages/daemon/src/dispatch/EndpointConnections.ts
+++ b/packages/daemon/src/dispatch/EndpointConnections.ts
@@ -1,15 +1,15 @@
 import type { Dispatcher } from "undici";
 
-/** Connections to endpoints. */
+/** HTTP connections to endpoints, by the endpoint's URL. */
 export type EndpointConnections = {
-    /** The pool of an endpoint's connections. */
+    /** Returns the endpoint's connection pool. */
     readonly pooled: (url: string) => Dispatcher;
     /**
-     * A connection of its own for one call, closed after it. It is opened for the call, so the endpoint has just proved
-     * that it is there.
+     * Returns a connection for one call, which the caller destroys afterwards. Since it is opened for the call, the
+     * endpoint was reachable just before the request is sent.
      */
-    readonly fresh: (url: string) => Dispatcher;
-    /** Uses none of the connections open now for a new call; calls that run on them finish. */
-    readonly distrust: (url: string) => void;
+    readonly dedicated: (url: string) => Dispatcher;
+    /** Uses no connection that is open now for new calls; calls in flight on them finish. */
+    readonly retirePool: (url: string) => void;
     readonly stop: () => Promise<void>;
 };
--- a/packages/daemon/src/dispatch/EngineChunk.ts
+++ b/packages/daemon/src/dispatch/EngineChunk.ts
@@ -1,6 +1,6 @@
 import { z } from "zod";
 
-/** One event of an engine's stream: one token with its position, or the last one with the reason of the end. */
+/** One event of an engine's stream: one token with its position; the last event holds the finish reason. */
 const EngineChunk = z.object({
     id: z.string(),
     position: z.number().int().min(0),
--- a/packages/daemon/src/dispatch/ModelAnswer.ts
+++ b/packages/daemon/src/dispatch/ModelAnswer.ts
@@ -1,9 +1,9 @@
 import type { EngineChunk } from "./EngineChunk.js";
 
-/** Takes the pieces of an answer, each once and in order, towards the caller. */
+/** Sends the pieces of an answer to the caller. Each piece is written once and in order. */
 export type ModelAnswer = {
-    /** Settles when the caller has room for more. */
-    readonly piece: (chunk: EngineChunk) => Promise<void>;
+    /** Settles when the caller can receive more. */
+    readonly write: (chunk: EngineChunk) => Promise<void>;
     /** Ends a complete answer. */
     readonly complete: () => void;
 };
--- a/packages/daemon/src/dispatch/TryEnd.ts
+++ b/packages/daemon/src/dispatch/TryEnd.ts
@@ -1,4 +1,4 @@
 import type { TryFailure } from "@azureshunt/request";
 
-/** How a try failed. `cancelled`: the caller is gone. */
+/** How a try failed. `cancelled`: the caller disconnected. */
 export type TryEnd = TryFailure | { readonly kind: "cancelled"; };
--- a/packages/daemon/src/dispatch/createModelAnswer.ts
+++ b/packages/daemon/src/dispatch/createModelAnswer.ts
@@ -7,8 +7,8 @@
 import type { ModelAnswer } from "./ModelAnswer.js";
 
 const MILLIS_PER_SECOND = 1_000;
-/** A caller that takes nothing for this long is taken for gone. */
-const STALLED_MS = 60_000;
+/** Time after which a caller that reads nothing is disconnected. */
+const MAX_STALL_MS = 60_000;
 const CHAT_PATH = "/v1/chat/completions";
 
 const textOf = (chunk: EngineChunk): string => chunk.choices[0]?.delta?.content ?? chunk.choices[0]?.text ?? "";
@@ -19,18 +19,18 @@
 });
 
 /**
- * Waits until the caller has read what was written.
+ * Waits until the response's write buffer is empty.
  *
- * Failure: a caller stops reading for good while its connection stays open; it shows as streams that never end and hold
- * an endpoint's place. Guard: after a bound the connection is destroyed, which cancels the request.
+ * A caller may stop reading for good while its connection stays open. Symptom: streams that never end and occupy an
+ * endpoint. To prevent this, the connection is destroyed after `MAX_STALL_MS`, which cancels the request.
  */
-async function untilDrained(res: ServerResponse, call: Call): Promise<void> {
-    const timer = setTimeout(() => res.destroy(), STALLED_MS);
+async function waitForDrain(res: ServerResponse, call: Call): Promise<void> {
+    const timer = setTimeout(() => res.destroy(), MAX_STALL_MS);
     await once(res, "drain", { signal: call.signal }).catch(() => undefined);
     clearTimeout(timer);
 }
 
-/** Passes an answer on as a stream of server-sent events. */
+/** Creates an answer that is forwarded as server-sent events. */
 function streamedAnswer(call: Call, target: ModelCall, res: ServerResponse, created: number): ModelAnswer {
     const isChat = target.path === CHAT_PATH;
     const begin = (): void => {
@@ -42,7 +42,7 @@
             });
         }
     };
-    const piece = async (chunk: EngineChunk): Promise<void> => {
+    const write = async (chunk: EngineChunk): Promise<void> => {
         begin();
         const finish = chunk.choices[0]?.finish_reason ?? null;
         const choice = isChat
@@ -58,20 +58,20 @@
             ...finish === null ? {} : { usage: usageOf(target, chunk.position + 1) },
         };
         if (!res.write(`data: ${JSON.stringify(event)}\n\n`)) {
-            await untilDrained(res, call);
+            await waitForDrain(res, call);
         }
     };
     const complete = (): void => {
         begin();
         res.end("data: [DONE]\n\n");
     };
-    return { piece, complete };
+    return { write, complete };
 }
 
-/** Collects an answer and sends it as one body. */
+/** Creates an answer that is collected and sent as one body. */
 function collectedAnswer(call: Call, target: ModelCall, res: ServerResponse, created: number): ModelAnswer {
     const pieces: EngineChunk[] = [];
-    const piece = (chunk: EngineChunk): Promise<void> => {
+    const write = (chunk: EngineChunk): Promise<void> => {
         pieces.push(chunk);
         return Promise.resolve();
     };
@@ -92,13 +92,13 @@
             usage: usageOf(target, pieces.length),
         }));
     };
-    return { piece, complete };
+    return { write, complete };
 }
 
 /**
- * Makes what takes an engine's answer to the caller, streamed or as one body, as the caller asked.
+ * Creates the answer to the caller, streamed or as one body, as the call requests.
  *
- * @param epochMs time of the answer in milliseconds since the epoch
+ * @param epochMs creation time of the answer in milliseconds since the epoch
  */
 export function createModelAnswer(call: Call, target: ModelCall, res: ServerResponse, epochMs: number): ModelAnswer {
     const created = Math.floor(epochMs / MILLIS_PER_SECOND);
--- a/packages/daemon/src/dispatch/createTries.ts
+++ b/packages/daemon/src/dispatch/createTries.ts
@@ -6,13 +6,13 @@
 import type { Call } from "../ports/Call.js";
 import type { Clock } from "../ports/Clock.js";
 import type { Metrics } from "../ports/Metrics.js";
-import type { Tries } from "./Tries.js";
+import type { RetryPolicy } from "./RetryPolicy.js";
 import type { TryEnd } from "./TryEnd.js";
 
-/** Further tries that may come at once; an endpoint's whole batch may have to move when it dies. */
-const RETRY_CAPACITY = 100;
+/** Retries that may happen at once. When an endpoint dies, its whole batch may have to be retried elsewhere. */
+const MAX_RETRY_BUDGET = 100;
 
-/** Further tries for each request in the long run. */
+/** Retries per request in the long run. */
 const RETRIES_PER_REQUEST = 0.2;
 
 const isRepeatable = ({ target }: Call): boolean => target.kind === "model" || target.repeatable;
@@ -22,15 +22,15 @@
         ? { kind: "stopped", refusal: refusalOf("caller-gone", undefined, { ran: request.ran }) }
         : end;
 
-/** Makes the decision on further tries, with a retry budget that all requests share. */
-export function createTries(clock: Clock, metrics: Metrics): Tries {
-    const shared = { budget: fullRetryBudget(RETRY_CAPACITY, RETRIES_PER_REQUEST) };
+/** Creates a retry policy with a retry budget that all requests share. */
+export function createTries(clock: Clock, metrics: Metrics): RetryPolicy {
+    const shared = { budget: fullRetryBudget(MAX_RETRY_BUDGET, RETRIES_PER_REQUEST) };
 
-    const arrive: Tries["arrive"] = call => {
+    const onArrival: RetryPolicy["onArrival"] = call => {
         shared.budget = earnRetry(shared.budget);
         return { repeatable: isRepeatable(call), deadline: call.deadline, tries: 0, next: 0, ran: "no" };
     };
-    const after: Tries["after"] = (request, end) => {
+    const afterFailure: RetryPolicy["afterFailure"] = (request, end) => {
         metrics.count("azureshunt_tries_failed_total", "Tries at endpoints that failed, by reason.", {
             reason: end.kind,
         });
@@ -49,5 +49,5 @@
         return Right(plan.request);
     };
     metrics.gauge("azureshunt_retry_budget", "Further tries that may be made at once.", () => shared.budget.balance);
-    return { arrive, after };
+    return { onArrival, afterFailure };
 }
--- a/packages/daemon/src/dispatch/dispatchModel.ts
+++ b/packages/daemon/src/dispatch/dispatchModel.ts
@@ -8,22 +8,22 @@
 import type { ModelCall } from "../ports/ModelCall.js";
 import type { Placement } from "../ports/Placement.js";
 import type { DispatchParts } from "./DispatchParts.js";
+import { forwardStream } from "./forwardStream.js";
 import type { ModelAnswer } from "./ModelAnswer.js";
 import { openEngineStream } from "./openEngineStream.js";
-import { outcomeOfTry } from "./outcomeOfTry.js";
-import { passStream } from "./passStream.js";
 import { placeAdmitted } from "./placeAdmitted.js";
-import { runEndOf } from "./runEndOf.js";
+import { placementOutcomeOf } from "./placementOutcomeOf.js";
+import { suspectRunEndOf } from "./suspectRunEndOf.js";
 import { traceTry } from "./traceTry.js";
 import type { TryEnd } from "./TryEnd.js";
 
-/** Wait for the head of an answer, in multiples of the estimated time to the first token, beyond the idle bound. */
-const FIRST_BYTE_FACTOR = 4;
+/** Time to wait for the head of an answer beyond the idle timeout, in multiples of the estimated time to first token. */
+const HEAD_WAIT_FACTOR = 4;
 
-/** Time to find another endpoint for a stream that has begun; the deadline for its start has passed then. */
+/** Time to find another endpoint for a started stream; the call's deadline, which bounds its start, no longer applies. */
 const RESUME_WAIT_MS = 10_000;
 
-/** How a try ended, and the position of the first piece that the caller still lacks. */
+/** Result of a try. `next` is the position of the first piece that the caller has not received. */
 type TryResult = { readonly next: number; readonly failure: TryEnd | undefined; };
 
 async function tryOnce(
@@ -31,7 +31,7 @@
     call: Call,
     target: ModelCall,
     placement: Placement,
-    from: number,
+    fromPosition: number,
     answer: ModelAnswer,
 ): Promise<TryResult> {
     const { metrics, settings } = parts.ctx;
@@ -41,20 +41,20 @@
         call,
         target,
         placement,
-        resumeFrom: from,
-        firstMs: idleMs + FIRST_BYTE_FACTOR * placement.estimate,
+        resumeFrom: fromPosition,
+        headTimeoutMs: idleMs + HEAD_WAIT_FACTOR * placement.estimate,
         idleMs,
         signal: call.signal,
     });
     return opened.caseOf<Promise<TryResult>>({
-        Left: failure => Promise.resolve({ next: from, failure }),
+        Left: failure => Promise.resolve({ next: fromPosition, failure }),
         Right: async stream => {
             placement.started(stream.incarnation, stream.cachedTokens);
-            const passed = await passStream(
+            const forwarded = await forwardStream(
                 { body: stream.body, call, answer, metrics },
-                openStream(placement.dispatchId, from),
+                openStream(placement.dispatchId, fromPosition),
             );
-            return { next: passed.state.next, failure: passed.failure };
+            return { next: forwarded.state.next, failure: forwarded.failure };
         },
     });
 }
@@ -64,29 +64,29 @@
     call: Call,
     target: ModelCall,
     placement: Placement,
-    from: number,
+    fromPosition: number,
     answer: ModelAnswer,
 ): Promise<TryResult> {
-    const run = parts.suspects.running(call, placement);
-    const piece: ModelAnswer["piece"] = chunk => {
-        run.answering();
-        return answer.piece(chunk);
+    const suspectRun = parts.suspects.running(call, placement);
+    const write: ModelAnswer["write"] = chunk => {
+        suspectRun.answering();
+        return answer.write(chunk);
     };
-    const result = await tryOnce(parts, call, target, placement, from, { ...answer, piece });
+    const result = await tryOnce(parts, call, target, placement, fromPosition, { ...answer, write });
     const { failure } = result;
     if (failure?.kind === "silent") {
-        parts.connections.distrust(placement.url);
+        parts.connections.retirePool(placement.url);
     }
-    placement.end(failure === undefined ? "complete" : outcomeOfTry(failure));
-    await run.end(runEndOf(failure));
+    placement.end(failure === undefined ? "complete" : placementOutcomeOf(failure));
+    await suspectRun.end(suspectRunEndOf(failure));
     return result;
 }
 
 /**
- * Serves a call to a model: chooses an endpoint, passes its stream on, and goes on at another endpoint from the next
- * position when it fails.
+ * Serves a call to a model: chooses an endpoint and forwards its stream. If the try fails, the stream is resumed from the
+ * next position, at another endpoint if there is one.
  *
- * @returns tokens used, or the refusal that the caller is to get
+ * @returns tokens used by prompt and answer, or Left with the refusal to answer the caller with
  */
 export async function dispatchModel(
     parts: DispatchParts,
@@ -97,9 +97,9 @@
     const tried: EndpointName[] = [];
 
     const afterFailure = (request: RequestState, end: TryEnd): Promise<Either<Refusal, Tokens>> =>
-        parts.tries.after(request, end).caseOf<Promise<Either<Refusal, Tokens>>>({
-            Left: refused => Promise.resolve(Left(refused)),
-            Right: again => attempt(again),
+        parts.tries.afterFailure(request, end).caseOf<Promise<Either<Refusal, Tokens>>>({
+            Left: refusal => Promise.resolve(Left(refusal)),
+            Right: retry => attempt(retry),
         });
 
     const attempt = async (request: RequestState): Promise<Either<Refusal, Tokens>> => {
@@ -121,5 +121,5 @@
         const ran = next > 0 ? "yes" : request.ran;
         return afterFailure({ ...request, next, ran, tries: request.tries + 1 }, failure);
     };
-    return attempt(parts.tries.arrive(call));
+    return attempt(parts.tries.onArrival(call));
 }
--- a/packages/daemon/src/dispatch/dispatchService.ts
+++ b/packages/daemon/src/dispatch/dispatchService.ts
@@ -13,7 +13,7 @@
 import type { DispatchParts } from "./DispatchParts.js";
 import type { DispatchPermit } from "./DispatchPermit.js";
 import { failureOfError } from "./failureOfError.js";
-import { outcomeOfTry } from "./outcomeOfTry.js";
+import { placementOutcomeOf } from "./placementOutcomeOf.js";
 import { placeTry } from "./placeTry.js";
 import { traceTry } from "./traceTry.js";
 import type { TryEnd } from "./TryEnd.js";
@@ -21,8 +21,8 @@
 const STATUS_TOO_MANY = 429;
 
 /**
- * Sends a call to a replica and reads its answer. What may not be repeated goes out on a connection opened for it, and
- * goes on when its caller is gone, so that its outcome is known when the caller comes back.
+ * Sends a call to a replica and reads its answer. A call that may not be repeated is sent on a connection opened for it
+ * and continues if its caller disconnects, so that its outcome is known when the caller repeats it.
  */
 async function tryOnce(
     parts: DispatchParts,
@@ -33,7 +33,7 @@
 ): Promise<Either<TryEnd, RecordedAnswer>> {
     const { connections } = parts;
     const signal = target.repeatable ? call.signal : undefined;
-    const dispatcher = target.repeatable ? connections.pooled(placement.url) : connections.fresh(placement.url);
+    const dispatcher = target.repeatable ? connections.pooled(placement.url) : connections.dedicated(placement.url);
     try {
         const res = await request(`${placement.url}${target.path}`, {
             method: target.method as "GET",
@@ -74,11 +74,11 @@
 }
 
 /**
- * Serves a call to a plain service. A call that may not be repeated is tried again only where no byte went out or the
- * service refused it.
+ * Serves a call to a plain service. A call that may not be repeated is retried only if no byte was sent or the service
+ * said that it did not run it.
  *
- * @param permit asked before each try
- * @returns the service's answer, or the refusal that the caller is to get
+ * @param permit its `begin` is called before each try
+ * @returns the service's answer, or Left with the refusal to answer the caller with
  */
 export async function dispatchService(
     parts: DispatchParts,
@@ -90,9 +90,9 @@
     const tried: EndpointName[] = [];
 
     const afterFailure = (before: RequestState, end: TryEnd): Promise<Either<Refusal, RecordedAnswer>> =>
-        parts.tries.after(before, end).caseOf<Promise<Either<Refusal, RecordedAnswer>>>({
-            Left: refused => Promise.resolve(Left(refused)),
-            Right: again => attempt(again),
+        parts.tries.afterFailure(before, end).caseOf<Promise<Either<Refusal, RecordedAnswer>>>({
+            Left: refusal => Promise.resolve(Left(refusal)),
+            Right: retry => attempt(retry),
         });
 
     const attempt = async (state: RequestState): Promise<Either<Refusal, RecordedAnswer>> => {
@@ -108,7 +108,7 @@
         }
         traceTry(parts.trace, call.id, placement, undefined);
         const ended = await tryOnce(parts, call, target, placement, timeoutMs);
-        placement.end(ended.caseOf({ Left: outcomeOfTry, Right: () => "complete" as const }));
+        placement.end(ended.caseOf({ Left: placementOutcomeOf, Right: () => "complete" as const }));
         if (ended.isRight()) {
             parts.trace.add(call.id, "complete", { endpoint: placement.endpoint });
             return Right(ended.extract() as RecordedAnswer);
@@ -116,12 +116,12 @@
         const end = ended.extract() as TryEnd;
         parts.trace.add(call.id, "try failed", { endpoint: placement.endpoint, reason: end.kind });
         if (end.kind === "silent") {
-            parts.connections.distrust(placement.url);
+            parts.connections.retirePool(placement.url);
         }
         if (end.kind === "refused" || end.kind === "unreached") {
             permit.notRun();
         }
         return afterFailure({ ...state, tries: state.tries + 1 }, end);
     };
-    return attempt(parts.tries.arrive(call));
+    return attempt(parts.tries.onArrival(call));
 }
--- a/packages/daemon/src/dispatch/passStream.ts
+++ b/packages/daemon/src/dispatch/forwardStream.ts
@@ -12,10 +12,10 @@
 
 const DONE = "[DONE]";
 
-/** How far a try has come; `failure` is undefined when the answer is complete. */
-type PassedStream = { readonly state: StreamState; readonly failure: TryEnd | undefined; };
+/** State of the stream when the try ended; `failure` is undefined if the answer is complete. */
+type ForwardedStream = { readonly state: StreamState; readonly failure: TryEnd | undefined; };
 
-/** What passing a stream on needs. */
+/** Inputs of `forwardStream`. */
 type StreamParts = {
     readonly body: AsyncIterable<Uint8Array>;
     readonly call: Call;
@@ -29,29 +29,29 @@
     last: typeof chunk.choices[0]?.finish_reason === "string",
 });
 
-/** Reads what is left after the last piece, so that the connection can be used again. */
+/** Reads the rest of the body after the last piece, so that the connection can be reused. */
 async function readToEnd(events: AsyncGenerator<string>): Promise<void> {
     try {
         const { done } = await events.next();
         return done === true ? undefined : await readToEnd(events);
     }
     catch {
-        // The answer is complete; a connection that breaks now has been destroyed and is not used again.
+        // The answer is complete. A connection that breaks now is already destroyed and will not be reused.
     }
 }
 
 /**
- * Passes the pieces of one try on to the caller, each once and in order, and no faster than the caller takes them.
+ * Forwards the pieces of one try to the caller, each once and in order, and no faster than the caller reads them.
  *
- * Failure: the engine's connection ends cleanly in the middle of an answer. It shows as an end without the last piece.
- * Guard: only the last piece completes an answer, never the end of a connection.
+ * The engine's connection may be closed cleanly in the middle of an answer. Symptom: an end without the last piece.
+ * Therefore only the last piece completes an answer, never the end of a connection.
  */
-export async function passStream(parts: StreamParts, from: StreamState): Promise<PassedStream> {
+export async function forwardStream(parts: StreamParts, from: StreamState): Promise<ForwardedStream> {
     const { call, answer, metrics } = parts;
     const events = readServerSentEvents(parts.body);
     const progress = { state: from };
 
-    const step = async (): Promise<TryEnd | "more" | "complete"> => {
+    const forwardNext = async (): Promise<TryEnd | "more" | "complete"> => {
         const next = await events.next();
         if (next.done === true || next.value === DONE) {
             return { kind: "died" };
@@ -61,7 +61,7 @@
         progress.state = state;
         const [effect] = effects;
         if (effect?.kind === "pass") {
-            await answer.piece(chunk);
+            await answer.write(chunk);
         }
         if (effect?.kind === "discard") {
             metrics.count("azureshunt_pieces_discarded_total", "Pieces of streams dropped, by reason.", {
@@ -77,16 +77,16 @@
         return call.signal.aborted ? { kind: "cancelled" } : "more";
     };
 
-    const run = async (): Promise<TryEnd | undefined> => {
-        let ended = await step();
+    const forwardAll = async (): Promise<TryEnd | undefined> => {
+        let ended = await forwardNext();
         while (ended === "more") {
-            ended = await step();
+            ended = await forwardNext();
         }
         return ended === "complete" ? undefined : ended;
     };
 
     try {
-        const failure = await run();
+        const failure = await forwardAll();
         if (failure === undefined) {
             void readToEnd(events);
         }
--- a/packages/daemon/src/dispatch/openEngineStream.ts
+++ b/packages/daemon/src/dispatch/openEngineStream.ts
@@ -14,44 +14,45 @@
 const STATUS_OK = 200;
 const STATUS_TOO_MANY = 429;
 
-/** The answer of an engine that has begun to stream. */
+/** Head of an engine's answer, and its body to be read. */
 type EngineStream = {
     readonly incarnation: Incarnation | undefined;
     readonly cachedTokens: number | undefined;
     readonly body: AsyncIterable<Uint8Array>;
 };
 
-/** What one try at an engine is made with. */
+/** Parameters of one try at an engine. */
 type EngineTry = {
     readonly dispatcher: Dispatcher;
     readonly call: Call;
     readonly target: ModelCall;
     readonly placement: Placement;
-    /** Position of the first token that is wanted. */
+    /** Position of the first token to send. */
     readonly resumeFrom: number;
-    /** Milliseconds until the headers must have come, and of silence between two pieces. */
-    readonly firstMs: number;
+    /** Maximum time until the headers are received. */
+    readonly headTimeoutMs: number;
+    /** Maximum time between two pieces. */
     readonly idleMs: number;
-    /** Ends the try; the engine sees the connection closed and stops. */
+    /** Aborts the try; the engine stops when its connection closes. */
     readonly signal: AbortSignal;
 };
 
 /**
- * Sends a call to an engine and waits for the head of its answer. Always asks for a stream, so that an answer can be
- * resumed elsewhere, whether the caller wants a stream or not.
+ * Sends a call to an engine and waits for the head of its answer. Always requests a stream, even if the caller did not,
+ * so that the answer can be resumed at another engine.
  *
- * Failure: an answer that belongs to another dispatch arrives on this connection. It shows as another or no dispatch id.
- * Guard: such an answer counts as `crossed` and its connection is destroyed with the body.
+ * An answer to another dispatch may arrive on this connection. Symptom: another dispatch id, or none. Such an answer
+ * counts as `crossed`, and its connection is destroyed together with the body.
  */
-export async function openEngineStream(one: EngineTry): Promise<Either<TryEnd, EngineStream>> {
-    const { call, target, placement } = one;
+export async function openEngineStream(engineTry: EngineTry): Promise<Either<TryEnd, EngineStream>> {
+    const { call, target, placement } = engineTry;
     try {
         const res = await request(`${placement.url}${target.path}`, {
             method: "POST",
-            dispatcher: one.dispatcher,
-            headersTimeout: one.firstMs,
-            bodyTimeout: one.idleMs,
-            signal: one.signal,
+            dispatcher: engineTry.dispatcher,
+            headersTimeout: engineTry.headTimeoutMs,
+            bodyTimeout: engineTry.idleMs,
+            signal: engineTry.signal,
             headers: {
                 "content-type": "application/json",
                 "x-dispatch-id": placement.dispatchId,
@@ -66,7 +67,7 @@
                 stream: true,
                 cache_salt: target.cacheSalt,
                 priority: call.priority,
-                resume_from: one.resumeFrom,
+                resume_from: engineTry.resumeFrom,
             }),
         });
         if (firstValue(res.headers["x-dispatch-id"]) !== placement.dispatchId) {
--- a/packages/daemon/src/dispatch/placeAdmitted.ts
+++ b/packages/daemon/src/dispatch/placeAdmitted.ts
@@ -11,9 +11,9 @@
 import { placeTry } from "./placeTry.js";
 import type { TryEnd } from "./TryEnd.js";
 
-const ASK_AGAIN_MS = 50;
+const RECHECK_MS = 50;
 
-/** Chooses an endpoint for a try, and for a suspect waits until it may run there. */
+/** Chooses an endpoint for a try. A request suspected of crashing endpoints waits until it may run at the endpoint. */
 export async function placeAdmitted(
     parts: DispatchParts,
     call: Call,
@@ -32,6 +32,6 @@
     if (parts.ctx.clock.now() >= call.deadline) {
         return Left({ kind: "unplaced", refusal: refusalOf("deadline-exceeded") });
     }
-    await sleep(ASK_AGAIN_MS);
+    await sleep(RECHECK_MS);
     return placeAdmitted(parts, call, admission === "endpoint-busy" ? [...tried, placement.endpoint] : tried);
 }
--- a/packages/daemon/src/dispatch/placeTry.ts
+++ b/packages/daemon/src/dispatch/placeTry.ts
@@ -8,12 +8,12 @@
 import type { TryEnd } from "./TryEnd.js";
 
 /**
- * Chooses an endpoint for a try of a request whose key is valid still.
+ * Chooses an endpoint for a try of a request whose key is still valid.
  *
- * Failure: a key is withdrawn while its request waits in the queue. It shows as work done for a withdrawn key. Guard: the
- * key is checked before the wait, at every change of the configuration during it, and right before the request goes out.
+ * A key may be withdrawn while its request waits in the queue. Symptom: work done for a withdrawn key. To prevent this,
+ * the key is checked before the wait, on every configuration change during it, and right before the request is sent.
  *
- * @returns Left with `stopped` where the request must not be tried, and with `unplaced` where no endpoint was found
+ * @returns Left with `stopped` if the request must not be tried, and with `unplaced` if no endpoint was found
  */
 export async function placeTry(
     parts: DispatchParts,
@@ -21,14 +21,14 @@
     tried: readonly EndpointName[],
 ): Promise<Either<TryEnd, Placement>> {
     const check = (): Either<Refusal, Call> => parts.recheck(call).chain(parts.suspects.check);
-    const before = check();
-    if (before.isLeft()) {
-        return Left({ kind: "stopped", refusal: before.extract() as Refusal });
+    const checked = check();
+    if (checked.isLeft()) {
+        return Left({ kind: "stopped", refusal: checked.extract() as Refusal });
     }
-    const stopped = new AbortController();
-    const unsubscribe = parts.ctx.release.subscribe(() => check().ifLeft(() => stopped.abort()));
-    const waiting = { ...call, signal: AbortSignal.any([call.signal, stopped.signal]) };
-    const placed = await parts.placement.place(waiting, tried);
+    const waitAborter = new AbortController();
+    const unsubscribe = parts.ctx.release.subscribe(() => check().ifLeft(() => waitAborter.abort()));
+    const waitingCall = { ...call, signal: AbortSignal.any([call.signal, waitAborter.signal]) };
+    const placed = await parts.placement.place(waitingCall, tried);
     unsubscribe();
     return check().caseOf<Either<TryEnd, Placement>>({
         Left: refusal => {
--- a/packages/daemon/src/dispatch/outcomeOfTry.ts
+++ b/packages/daemon/src/dispatch/placementOutcomeOf.ts
@@ -1,8 +1,8 @@
 import type { PlacementOutcome } from "../ports/PlacementOutcome.js";
 import type { TryEnd } from "./TryEnd.js";
 
-/** What the chooser of endpoints is told of a failed try. */
-export function outcomeOfTry(end: TryEnd): PlacementOutcome {
+/** Returns the outcome of a failed try as reported to the placement. */
+export function placementOutcomeOf(end: TryEnd): PlacementOutcome {
     switch (end.kind) {
         case "refused":
             return "refused";
--- a/packages/daemon/src/dispatch/readServerSentEvents.ts
+++ b/packages/daemon/src/dispatch/readServerSentEvents.ts
@@ -5,9 +5,9 @@
     event.split(/\r?\n/).filter(line => DATA_LINE.test(line)).map(line => line.replace(DATA_LINE, "")).join("\n");
 
 /**
- * Reads the data of each server-sent event of a body. An event that the body breaks off in is not given out.
+ * Yields the data of each server-sent event of a body. An event that is cut off by the end of the body is dropped.
  *
- * @throws whatever reading the body throws
+ * @throws any error of reading the body
  */
 export async function* readServerSentEvents(body: AsyncIterable<Uint8Array>): AsyncGenerator<string> {
     const decoder = new TextDecoder();
--- a/packages/daemon/src/dispatch/runEndOf.ts
+++ b/packages/daemon/src/dispatch/suspectRunEndOf.ts
@@ -1,8 +1,12 @@
 import type { SuspectRunEnd } from "../ports/SuspectRunEnd.js";
 import type { TryEnd } from "./TryEnd.js";
 
-/** What the end of a try says about its endpoint having died; undefined for a complete answer. */
-export function runEndOf(end: TryEnd | undefined): SuspectRunEnd {
+/**
+ * Returns what the end of a try shows about whether its endpoint died.
+ *
+ * @param end undefined if the answer is complete
+ */
+export function suspectRunEndOf(end: TryEnd | undefined): SuspectRunEnd {
     switch (end?.kind) {
         case undefined:
             return "complete";
--- a/packages/daemon/src/dispatch/traceTry.ts
+++ b/packages/daemon/src/dispatch/traceTry.ts
@@ -4,9 +4,9 @@
 import type { TracePort } from "../ports/TracePort.js";
 
 /**
- * Notes for `azureshunt why` that a try begins.
+ * Records the start of a try for `azureshunt why`.
  *
- * @param position first token that the caller lacks; undefined for calls that are no streams
+ * @param position position of the first token that the caller has not received; undefined for calls to plain services
  */
 export function traceTry(trace: TracePort, id: RequestId, placement: Placement, position: number | undefined): void {
     const { endpoint, dispatchId, estimate } = placement;
--- a/packages/daemon/src/fleet/EngineState.ts
+++ b/packages/daemon/src/fleet/EngineState.ts
@@ -7,7 +7,7 @@
     version: WeightsVersion,
 }).transform(({ model, adapter, version }) => ({ model, adapter: adapter ?? undefined, version }));
 
-/** What an engine says of the weights that it holds. */
+/** The weights that an engine holds and loads, as it reports them. */
 const EngineState = z.object({
     holds: z.array(Weights),
     loading: z.array(Weights).default([]),
--- a/packages/daemon/src/fleet/createEngineOrders.ts
+++ b/packages/daemon/src/fleet/createEngineClient.ts
@@ -8,28 +8,28 @@
 
 const STATUS_OK = 200;
 const STATUS_CONFLICT = 409;
-const CONNECT_MS = 500;
+const CONNECT_TIMEOUT_MS = 500;
 
-/** How an order ended: `fenced` by an engine that knows a newer lease; `unknown` where no answer came. */
+/** Result of an order. `fenced`: the engine has seen a newer lease; `unknown`: no answer was received. */
 type OrderOutcome = "done" | "fenced" | "refused" | "unknown";
 
-/** Asks engines what they hold and gives them orders. */
-type EngineOrders = {
-    /** Undefined when the engine did not answer in time. */
+/** Client that reads the engines' state and sends them orders. */
+type EngineClient = {
+    /** Returns undefined if the engine did not answer in time. */
     readonly observe: (spec: EndpointSpec) => Promise<ObservedEngine | undefined>;
     readonly send: (spec: EndpointSpec, order: FleetOrder, fencing: number) => Promise<OrderOutcome>;
     readonly stop: () => Promise<void>;
 };
 
 /**
- * Makes the client of engines' state and orders.
+ * Creates the client of engines' state and orders.
  *
- * @param timeoutMs longest time of one call; an order is over by then, whether an answer came or not
+ * @param timeoutMs maximum time of one call; an order has ended by then, even without an answer
  */
-export function createEngineOrders(timeoutMs: number): EngineOrders {
-    const dispatcher = new Agent({ connect: { timeout: CONNECT_MS }, connections: 2, pipelining: 1 });
+export function createEngineClient(timeoutMs: number): EngineClient {
+    const dispatcher = new Agent({ connect: { timeout: CONNECT_TIMEOUT_MS }, connections: 2, pipelining: 1 });
 
-    const observe: EngineOrders["observe"] = async spec => {
+    const observe: EngineClient["observe"] = async spec => {
         try {
             const res = await request(`${spec.url}/v1/state`, { dispatcher, signal: AbortSignal.timeout(timeoutMs) });
             const { holds, loading } = EngineState.parse(await res.body.json());
@@ -40,7 +40,7 @@
         }
     };
 
-    const send: EngineOrders["send"] = async (spec, order, fencing) => {
+    const send: EngineClient["send"] = async (spec, order, fencing) => {
         try {
             const { model, adapter, version } = order.weights;
             const res = await request(`${spec.url}/v1/orders`, {
--- a/packages/daemon/src/fleet/createTrafficVersions.ts
+++ b/packages/daemon/src/fleet/createTrafficVersions.ts
@@ -3,16 +3,16 @@
 import { trafficVersion } from "@azureshunt/fleet";
 import type { Configuration, ModelSpec } from "@azureshunt/release";
 
-/** How long a decision stands, so that a request does not look at every endpoint. */
-const STANDS_MS = 100;
+/** Time for which a decision is reused, so that not every request has to scan all endpoints. */
+const DECISION_VALID_MS = 100;
 
-/** A version as it was decided, for one configuration. */
-type Decision = { readonly version: WeightsVersion; readonly revision: number; readonly at: Millis; };
+/** A decided version, valid for one revision of the configuration. */
+type Decision = { readonly version: WeightsVersion; readonly revision: number; readonly decidedAt: Millis; };
 
-/** What a live endpoint holds, as this daemon last saw it. */
-type Holding = { readonly name: EndpointName; readonly holds: readonly Weights[]; };
+/** A live endpoint and the weights that it holds, as this daemon last saw them. */
+type LiveEndpoint = { readonly name: EndpointName; readonly holds: readonly Weights[]; };
 
-/** Gives the version that a new request for a model gets. */
+/** Returns the weights version of a model for new requests. */
 type TrafficVersions = (cfg: Configuration, spec: ModelSpec) => WeightsVersion;
 
 const replicasOf = (cfg: Configuration, model: ModelName): ReadonlySet<EndpointName> =>
@@ -23,29 +23,29 @@
     );
 
 /**
- * Makes the choice of versions. Each daemon decides from what it sees; during a release two daemons may for a moment
- * give different versions, each of which is held.
+ * Creates the choice of weights versions. Each daemon decides by its own observations. During a release, two daemons may
+ * briefly choose different versions, each of which some engine holds.
  *
- * @param observe live endpoints as seen now
+ * @param observe returns the live endpoints as seen now
  */
-export function createTrafficVersions(observe: () => readonly Holding[], now: () => Millis): TrafficVersions {
+export function createTrafficVersions(observe: () => readonly LiveEndpoint[], now: () => Millis): TrafficVersions {
     const decisions = new Map<ModelName, Decision>();
     return (cfg, spec) => {
         const last = decisions.get(spec.name);
-        if (last?.revision === cfg.revision && now() - last.at < STANDS_MS) {
+        if (last?.revision === cfg.revision && now() - last.decidedAt < DECISION_VALID_MS) {
             return last.version;
         }
         const replicas = replicasOf(cfg, spec.name);
-        const holders = observe()
+        const holderCounts = observe()
             .filter(endpoint => replicas.has(endpoint.name))
             .flatMap(endpoint => endpoint.holds)
-            .filter(held => held.model === spec.name && held.adapter === undefined)
+            .filter(weights => weights.model === spec.name && weights.adapter === undefined)
             .reduce(
-                (counts, held) => counts.set(held.version, (counts.get(held.version) ?? 0) + 1),
+                (counts, weights) => counts.set(weights.version, (counts.get(weights.version) ?? 0) + 1),
                 new Map<WeightsVersion, number>(),
             );
-        const version = trafficVersion(spec, replicas.size, holders, last?.version);
-        decisions.set(spec.name, { version, revision: cfg.revision, at: now() });
+        const version = trafficVersion(spec, replicas.size, holderCounts, last?.version);
+        decisions.set(spec.name, { version, revision: cfg.revision, decidedAt: now() });
         return version;
     };
 }
--- a/packages/daemon/src/fleet/createUnloadGuard.ts
+++ b/packages/daemon/src/fleet/createUnloadGuard.ts
@@ -1,32 +1,33 @@
 import type { Millis } from "@azureshunt/core";
 import type { Weights } from "@azureshunt/fleet";
 
-/** Remembers when weights were last asked for, so that they are unloaded only when no request can want them. */
+/** Tracks the last use of weights, so that they are unloaded only when no request can need them. */
 type UnloadGuard = {
-    /** Tells that new requests may still get these weights. */
-    readonly noteUse: (weights: Weights, now: Millis) => void;
-    /** Whether the grace is over since the last use, or since the first question. */
+    /** Records that new requests may still be given these weights. */
+    readonly recordUse: (weights: Weights, now: Millis) => void;
+    /** Returns whether the grace period since the last use has elapsed; without a use, since the first call. */
     readonly mayUnload: (weights: Weights, now: Millis) => boolean;
 };
 
 const keyOf = ({ model, adapter, version }: Weights): string => JSON.stringify([model, adapter, version]);
 
 /**
- * Makes the guard of old weights.
+ * Creates the guard against unloading old weights too early.
  *
- * Failure: a request is resolved to a version, waits in a queue, and finds the version gone from every engine. It shows
- * as a refused or broken request during a release. Guard: weights stay for a grace longer than a request may wait after
- * the last time that this daemon saw them in use; a daemon that just began to order counts from its first look.
+ * A request may be resolved to a version, wait in a queue, and then find that no engine holds the version any more.
+ * Symptom: a refused or broken request during a release. To prevent this, weights stay loaded after their last use seen by
+ * this daemon for a grace period, which is longer than a request may wait. A daemon that has just started to send orders
+ * measures the period from its first check.
  */
 export function createUnloadGuard(graceMs: Millis): UnloadGuard {
     const lastUse = new Map<string, Millis>();
     return {
-        noteUse: (weights, now) => void lastUse.set(keyOf(weights), now),
+        recordUse: (weights, now) => void lastUse.set(keyOf(weights), now),
         mayUnload: (weights, now) => {
             const key = keyOf(weights);
-            const since = lastUse.get(key) ?? now;
-            lastUse.set(key, since);
-            return now - since > graceMs;
+            const usedAt = lastUse.get(key) ?? now;
+            lastUse.set(key, usedAt);
+            return now - usedAt > graceMs;
         },
     };
 }
--- a/packages/daemon/src/fleet/startFleet.ts
+++ b/packages/daemon/src/fleet/startFleet.ts
@@ -5,27 +5,28 @@
 
 import type { DaemonContext } from "../ports/DaemonContext.js";
 import type { Stopping } from "../Stopping.js";
-import { createEngineOrders } from "./createEngineOrders.js";
+import { createEngineClient } from "./createEngineClient.js";
 import type { createTrafficVersions } from "./createTrafficVersions.js";
 import { createUnloadGuard } from "./createUnloadGuard.js";
 import { startLease } from "./startLease.js";
 
-/** Added to the longest wait of a request before old weights may go. */
+/** Time added to the maximum wait of a request before old weights may be unloaded. */
 const UNLOAD_MARGIN_MS = 5_000;
 
 /**
- * Brings the engines of this daemon's failure domain to what the configuration declares, while this daemon holds the
- * order lease. Compares anew at each round; nothing depends on an order having arrived.
+ * Starts sending orders to the engines of this daemon's failure domain, while it holds the order lease, so that they reach
+ * the state that the configuration declares. Each round compares the two again, so nothing depends on the arrival of an
+ * order.
  *
- * @param versionOf the version that new requests get
+ * @param versionOf returns the weights version of a model for new requests
  */
 export function startFleet(ctx: DaemonContext, versionOf: ReturnType<typeof createTrafficVersions>): Stopping {
     const { settings, clock, metrics } = ctx;
     const { leaseMs, orderMs, pollMs, concurrentLoads } = settings.fleet;
     const logger = ctx.logger("fleet");
     const lease = startLease(ctx, leaseMs);
-    const engines = createEngineOrders(orderMs);
-    const guard = createUnloadGuard(settings.limits.deadlineMs + UNLOAD_MARGIN_MS);
+    const engines = createEngineClient(orderMs);
+    const unloadGuard = createUnloadGuard(settings.limits.deadlineMs + UNLOAD_MARGIN_MS);
     const busy = new Set<EndpointName>();
     const rounds = { stopped: false };
 
@@ -38,7 +39,7 @@
     );
 
     const send = async (spec: EndpointSpec, order: FleetOrder): Promise<void> => {
-        // Asked here and not when the order was planned: the process may have been paused in between.
+        // Checked here and not when the order was planned, as the process may have been suspended in between.
         const fencing = fencingFor(spec.checksFencing);
         if (fencing === undefined) {
             return;
@@ -51,13 +52,13 @@
             action,
             outcome,
         });
-        logger.info({ endpoint, action, model, adapter, version, fencing, outcome }, "Order sent.");
+        logger.info({ endpoint, action, model, adapter, version, fencing, outcome }, "Sent an order to an engine.");
     };
 
-    const noteUses = (cfg: Configuration): void =>
+    const recordUses = (cfg: Configuration): void =>
         [...cfg.models.values()].forEach((spec: ModelSpec) =>
             [undefined, ...spec.adapters].forEach(adapter =>
-                guard.noteUse({ model: spec.name, adapter, version: versionOf(cfg, spec) }, clock.now())
+                unloadGuard.recordUse({ model: spec.name, adapter, version: versionOf(cfg, spec) }, clock.now())
             )
         );
 
@@ -66,17 +67,17 @@
         if (cfg === undefined || fencingFor(true) === undefined) {
             return;
         }
-        noteUses(cfg);
+        recordUses(cfg);
         const specs = [...cfg.endpoints.values()]
             .filter(spec => spec.kind === "model" && spec.failureDomain === settings.failureDomain);
-        const seen = await Promise.all(specs.map(engines.observe));
-        const observed: readonly ObservedEngine[] = seen.filter(engine => engine !== undefined);
+        const answers = await Promise.all(specs.map(engines.observe));
+        const observed: readonly ObservedEngine[] = answers.filter(engine => engine !== undefined);
         const orders = planOrders({
             cfg,
             engines: observed,
             busy,
             maxLoads: concurrentLoads,
-            mayUnload: weights => guard.mayUnload(weights, clock.now()),
+            mayUnload: weights => unloadGuard.mayUnload(weights, clock.now()),
         });
         await Promise.all(orders.map(order => {
             const spec = cfg.endpoints.get(order.endpoint);
@@ -86,7 +87,7 @@
 
     const loop = (): void => {
         void round()
-            .catch((err: unknown) => logger.error({ err }, "Round failed."))
+            .catch((err: unknown) => logger.error({ err }, "Round of engine orders failed: internal error."))
             .finally(() => {
                 if (!rounds.stopped) {
                     setTimeout(loop, pollMs);
--- a/packages/daemon/src/fleet/startLease.ts
+++ b/packages/daemon/src/fleet/startLease.ts
@@ -8,31 +8,32 @@
 import { spawnAggregate } from "../actors/spawnAggregate.js";
 import type { DaemonContext } from "../ports/DaemonContext.js";
 
-const PAGE = 100;
-const WAIT_MS = 2_000;
+const PAGE_RECORDS = 100;
+const READ_WAIT_MS = 2_000;
 const RETRY_MS = 500;
 const TICK_MS = 250;
 
-/** The order lease of this daemon's failure domain, followed and claimed in the background. */
-type Lease = { readonly state: () => LeaseState; readonly stop: () => void; };
+/** The order lease of this daemon's failure domain. */
+type LeaseHandle = { readonly state: () => LeaseState; readonly stop: () => void; };
 
 /**
- * Follows the lease stream of this daemon's failure domain, and claims and renews the lease where the rule says so.
+ * Starts following the lease stream of this daemon's failure domain, and claims and renews the lease when `stepLease`
+ * requires it.
  *
- * @param ttlMs milliseconds that a claim or renewal holds
+ * @param ttlMs time for which a claim or renewal is valid
  */
-export function startLease(ctx: DaemonContext, ttlMs: Millis): Lease {
+export function startLease(ctx: DaemonContext, ttlMs: Millis): LeaseHandle {
     const { settings, clock, log } = ctx;
     const stream = `lease-${settings.failureDomain}`;
     const logger = ctx.logger("fleet");
     const stopped = new AbortController();
 
-    const append = (id: RecordId, data: unknown, tell: (event: LeaseEvent) => void): void => {
+    const append = (id: RecordId, data: unknown, apply: (event: LeaseEvent) => void): void => {
         void log.append(stream, [{ id, data }]).then(answer =>
             answer.ifLeft(failure => {
-                // A lost answer may hide a record that lands later; only a sure failure frees the next append.
+                // After a lost answer the record may still be written; only a certain failure allows the next append.
                 if (failure.kind === "unreachable") {
-                    tell({ kind: "append-failed", id });
+                    apply({ kind: "append-failed", id });
                 }
             })
         );
@@ -42,16 +43,16 @@
         initial: newLease(settings.vm, ctx.incarnation, ttlMs, clock.now()),
         now: clock.now,
         reduce: stepLease,
-        perform: (effect, tell) => append(effect.id, effect.data, tell),
+        perform: (effect, apply) => append(effect.id, effect.data, apply),
     });
 
     const follow = async (): Promise<void> => {
-        const page = await log.read(stream, actor.state().next, PAGE, WAIT_MS, stopped.signal);
+        const page = await log.read(stream, actor.state().next, PAGE_RECORDS, READ_WAIT_MS, stopped.signal);
         page.caseOf({
             Right: ({ records }) => actor.tell({ kind: "read", records }),
             Left: failure => {
                 if (failure.kind === "expired") {
-                    logger.warn({ start: failure.start }, "Lease records have expired unread.");
+                    logger.warn({ start: failure.start }, "Lease records expired before this VM read them.");
                     actor.tell({ kind: "expired", start: failure.start });
                 }
             },
--- a/packages/daemon/src/gateway/Caller.ts
+++ b/packages/daemon/src/gateway/Caller.ts
@@ -1,6 +1,6 @@
 import type { KeyId, OrganisationId } from "@azureshunt/core";
 
-/** Who a caller's key belongs to. */
+/** An authenticated caller: its key and the organisation that the key belongs to. */
 export type Caller = {
     readonly keyId: KeyId;
     readonly organisation: OrganisationId;
--- a/packages/daemon/src/gateway/ChatRequest.ts
+++ b/packages/daemon/src/gateway/ChatRequest.ts
@@ -11,7 +11,7 @@
     ),
 }).passthrough();
 
-/** Body of `POST /v1/chat/completions`; fields that the daemon does not read are passed on as they are. */
+/** Body of `POST /v1/chat/completions`; fields that the daemon does not read are forwarded unchanged. */
 const ChatRequest = z.object({
     model: z.string().min(1),
     messages: z.array(Message).min(1),
--- a/packages/daemon/src/gateway/CompletionRequest.ts
+++ b/packages/daemon/src/gateway/CompletionRequest.ts
@@ -2,7 +2,7 @@
 
 const MAX_OUTPUT_TOKENS = 1_000_000;
 
-/** Body of `POST /v1/completions`; fields that the daemon does not read are passed on as they are. */
+/** Body of `POST /v1/completions`; fields that the daemon does not read are forwarded unchanged. */
 const CompletionRequest = z.object({
     model: z.string().min(1),
     prompt: z.union([z.string(), z.array(z.string()).length(1).transform(prompts => prompts.join(""))]),
--- a/packages/daemon/src/gateway/GatewayParts.ts
+++ b/packages/daemon/src/gateway/GatewayParts.ts
@@ -7,15 +7,15 @@
 import type { IntentPort } from "../ports/IntentPort.js";
 import type { Caller } from "./Caller.js";
 
-/** What serving callers needs. */
+/** Dependencies of the gateway. */
 export type GatewayParts = {
     readonly dispatch: DispatchParts;
     readonly allowance: AllowancePort;
     readonly intents: IntentPort;
-    /** Finds out whose key came with a request; Left with `missing-key`, `unknown-key` or `withdrawn-key`. */
+    /** Returns the caller for an `Authorization` header; Left with `missing-key`, `unknown-key` or `withdrawn-key`. */
     readonly authenticate: (cfg: Configuration, authorization: string | undefined) => Either<Refusal, Caller>;
-    /** The version of a model that new requests get. */
+    /** Returns the weights version of a model for new requests. */
     readonly versionOf: (cfg: Configuration, spec: ModelSpec) => WeightsVersion;
-    /** Whether this daemon is stopping; requests are still served, and each answer closes its connection. */
+    /** Whether this daemon is shutting down. Requests are still served, and each answer closes its connection. */
     readonly isDraining: () => boolean;
 };
--- a/packages/daemon/src/gateway/authenticateCaller.ts
+++ b/packages/daemon/src/gateway/authenticateCaller.ts
@@ -7,7 +7,7 @@
 import type { Caller } from "./Caller.js";
 
 /**
- * Finds out whose key came in an `Authorization` header.
+ * Returns the caller whose key is in an `Authorization` header.
  *
  * @returns Left with `missing-key`, `unknown-key` or `withdrawn-key`
  */
--- a/packages/daemon/src/gateway/bearerKey.ts
+++ b/packages/daemon/src/gateway/bearerKey.ts
@@ -1,6 +1,6 @@
 const BEARER = /^Bearer +([\x21-\x7e]+)$/i;
 
-/** Takes the key out of an `Authorization` header; undefined where there is none, or another scheme than bearer. */
+/** Returns the key of an `Authorization` header; undefined if the header is missing or is not a valid bearer token. */
 export function bearerKey(authorization: string | undefined): string | undefined {
     return BEARER.exec(authorization ?? "")?.[1];
 }
--- a/packages/daemon/src/gateway/createCallerHandler.ts
+++ b/packages/daemon/src/gateway/createCallerHandler.ts
@@ -24,16 +24,16 @@
 const SERVICES_PREFIX = "/v1/services/";
 const JSON_TYPE = /^application\/json\b/i;
 const DEFAULT_PRIORITY = 5;
-const PRIORITIES = /^[0-9]$/;
-const MILLIS = /^[1-9][0-9]{0,6}$/;
+const PRIORITY = /^[0-9]$/;
+const DEADLINE_MS = /^[1-9][0-9]{0,6}$/;
 
-/** A request of a caller whose key is valid. */
-type Authenticated = { readonly cfg: Configuration; readonly caller: Caller; readonly id: RequestId; };
+/** A request with a valid key. */
+type AuthenticatedRequest = { readonly cfg: Configuration; readonly caller: Caller; readonly id: RequestId; };
 
 /**
- * Makes the function that answers callers' requests; each ends in an answer or in a refusal from the closed list.
+ * Creates a handler of callers' requests. Each request ends in an answer or in a refusal of a known kind.
  *
- * @param isShutDown whether the time that running requests were given is over
+ * @param isShutDown returns whether the time to drain running requests is over
  */
 export function createCallerHandler(
     parts: GatewayParts,
@@ -43,12 +43,12 @@
     const logger = ctx.logger("gateway");
     const { limits } = ctx.settings;
 
-    const tooStale = (cfg: Configuration, caller: Caller): boolean => {
+    const isTooStale = (cfg: Configuration, caller: Caller): boolean => {
         const bound = cfg.organisations.get(caller.organisation)?.maxStalenessSeconds;
         return bound !== undefined && ctx.release.staleness() > bound * 1_000;
     };
 
-    const authenticate = (req: IncomingMessage, id: RequestId): Either<Refusal, Authenticated> => {
+    const authenticate = (req: IncomingMessage, id: RequestId): Either<Refusal, AuthenticatedRequest> => {
         const cfg = ctx.release.current();
         if (isShutDown()) {
             return Left(refusalOf("shutting-down"));
@@ -58,31 +58,39 @@
         }
         return parts.authenticate(cfg, req.headers.authorization)
             .chain(caller =>
-                tooStale(cfg, caller) ? Left(refusalOf("configuration-too-old")) : Right({ cfg, caller, id })
+                isTooStale(cfg, caller) ? Left(refusalOf("configuration-too-old")) : Right({ cfg, caller, id })
             );
     };
 
-    const callOf = (who: Authenticated, req: IncomingMessage, res: ServerResponse, target: Call["target"]): Call => {
+    const callOf = (
+        authenticated: AuthenticatedRequest,
+        req: IncomingMessage,
+        res: ServerResponse,
+        target: Call["target"],
+    ): Call => {
         const now = ctx.clock.now();
         const deadline = firstValue(req.headers["x-deadline-ms"]) ?? "";
         const priority = firstValue(req.headers["x-priority"]) ?? "";
-        parts.dispatch.trace.add(who.id, "arrived", { organisation: who.caller.organisation, target: target.kind });
-        const gone = new AbortController();
-        res.once("close", () => gone.abort());
+        parts.dispatch.trace.add(authenticated.id, "arrived", {
+            organisation: authenticated.caller.organisation,
+            target: target.kind,
+        });
+        const disconnected = new AbortController();
+        res.once("close", () => disconnected.abort());
         return {
-            id: who.id,
-            organisation: who.caller.organisation,
-            keyId: who.caller.keyId,
+            id: authenticated.id,
+            organisation: authenticated.caller.organisation,
+            keyId: authenticated.caller.keyId,
             arrivedAt: now,
-            deadline: now + (MILLIS.test(deadline) ? Number(deadline) : limits.deadlineMs),
-            priority: PRIORITIES.test(priority) ? Number(priority) : DEFAULT_PRIORITY,
+            deadline: now + (DEADLINE_MS.test(deadline) ? Number(deadline) : limits.deadlineMs),
+            priority: PRIORITY.test(priority) ? Number(priority) : DEFAULT_PRIORITY,
             target,
-            signal: gone.signal,
+            signal: disconnected.signal,
         };
     };
 
     const serveModelPath = async (
-        who: Authenticated,
+        authenticated: AuthenticatedRequest,
         path: string,
         req: IncomingMessage,
         res: ServerResponse,
@@ -95,60 +103,69 @@
         }
         const body = await readBody(req, limits.bodyBytes);
         const target = body.chain(bytes =>
-            parseModelCall(who.cfg, who.caller.organisation, parts.versionOf, path, bytes)
+            parseModelCall(authenticated.cfg, authenticated.caller.organisation, parts.versionOf, path, bytes)
         );
         return target.caseOf<Promise<Either<Refusal, void>>>({
-            Left: refused => Promise.resolve(Left(refused)),
-            Right: model => serveModel(parts, callOf(who, req, res, model), model, res),
+            Left: refusal => Promise.resolve(Left(refusal)),
+            Right: model => serveModel(parts, callOf(authenticated, req, res, model), model, res),
         });
     };
 
     const servePlainService = async (
-        who: Authenticated,
+        authenticated: AuthenticatedRequest,
         req: IncomingMessage,
         res: ServerResponse,
     ): Promise<Either<Refusal, void>> => {
         const body = await readBody(req, limits.bodyBytes);
-        const target = body.chain(bytes => parseServiceCall(who.cfg, who.caller.organisation, req, bytes));
+        const target = body.chain(bytes =>
+            parseServiceCall(authenticated.cfg, authenticated.caller.organisation, req, bytes)
+        );
         return target.caseOf<Promise<Either<Refusal, void>>>({
-            Left: refused => Promise.resolve(Left(refused)),
-            Right: service => serveService(parts, who.cfg, callOf(who, req, res, service), service, res),
+            Left: refusal => Promise.resolve(Left(refusal)),
+            Right: service =>
+                serveService(parts, authenticated.cfg, callOf(authenticated, req, res, service), service, res),
         });
     };
 
-    const route = (who: Authenticated, req: IncomingMessage, res: ServerResponse): Promise<Either<Refusal, void>> => {
+    const route = (
+        authenticated: AuthenticatedRequest,
+        req: IncomingMessage,
+        res: ServerResponse,
+    ): Promise<Either<Refusal, void>> => {
         const path = (req.url ?? "").split("?")[0] ?? "";
         if (MODEL_PATHS.includes(path)) {
-            return serveModelPath(who, path, req, res);
+            return serveModelPath(authenticated, path, req, res);
         }
         if (path.startsWith(SERVICES_PREFIX)) {
-            return servePlainService(who, req, res);
+            return servePlainService(authenticated, req, res);
         }
         if (path === MODELS_PATH && req.method === "GET") {
-            return Promise.resolve(listModels(who.cfg, who.caller.organisation, who.id, res));
+            return Promise.resolve(
+                listModels(authenticated.cfg, authenticated.caller.organisation, authenticated.id, res),
+            );
         }
         return Promise.resolve(Left(refusalOf(path === MODELS_PATH ? "method-not-allowed" : "not-found")));
     };
 
-    const refuse = (id: RequestId, res: ServerResponse, refused: Refusal): void => {
-        const { kind } = refused;
+    const refuse = (id: RequestId, res: ServerResponse, refusal: Refusal): void => {
+        const { kind } = refusal;
         ctx.metrics.count("azureshunt_refusals_total", "Requests refused, by kind of error.", { kind });
-        parts.dispatch.trace.add(id, "refused", { kind, ran: refused.ran, detail: refused.detail });
-        logger.info({ requestId: id, kind, ran: refused.ran }, "Request refused.");
-        sendRefusal(res, id, refused);
+        parts.dispatch.trace.add(id, "refused", { kind, ran: refusal.ran, detail: refusal.detail });
+        logger.info({ requestId: id, kind, ran: refusal.ran }, "Request refused.");
+        sendRefusal(res, id, refusal);
     };
 
     const serve = async (req: IncomingMessage, res: ServerResponse): Promise<void> => {
         const id = randomUUID() as string as RequestId;
         try {
             const served = await authenticate(req, id).caseOf<Promise<Either<Refusal, void>>>({
-                Left: refused => Promise.resolve(Left(refused)),
-                Right: who => route(who, req, res),
+                Left: refusal => Promise.resolve(Left(refusal)),
+                Right: authenticated => route(authenticated, req, res),
             });
-            served.ifLeft(refused => refuse(id, res, refused));
+            served.ifLeft(refusal => refuse(id, res, refusal));
         }
         catch (err) {
-            logger.error({ requestId: id, err }, "Request failed.");
+            logger.error({ requestId: id, err }, "Request failed: internal error.");
             refuse(id, res, refusalOf("internal"));
         }
     };
--- a/packages/daemon/src/gateway/parseModelCall.ts
+++ b/packages/daemon/src/gateway/parseModelCall.ts
@@ -11,8 +11,8 @@
 
 const CHAT_PATH = "/v1/chat/completions";
 
-/** What both kinds of body have in common once they are read. */
-type Prompted = {
+/** Fields that chat and completion bodies have in common. */
+type ParsedBody = {
     readonly model: string;
     readonly prompt: string;
     readonly maxTokens: number | undefined;
@@ -20,9 +20,9 @@
     readonly body: Readonly<Record<string, unknown>>;
 };
 
-type Served = { readonly spec: ModelSpec; readonly adapter: AdapterName | undefined; };
+type ResolvedModel = { readonly spec: ModelSpec; readonly adapter: AdapterName | undefined; };
 
-const readChat = (body: Uint8Array): Either<Refusal, Prompted> =>
+const parseChat = (body: Uint8Array): Either<Refusal, ParsedBody> =>
     parseJson(ChatRequest, body).map(req => ({
         model: req.model,
         prompt: renderPrompt(req.messages),
@@ -31,7 +31,7 @@
         body: req,
     }));
 
-const readCompletion = (body: Uint8Array): Either<Refusal, Prompted> =>
+const parseCompletion = (body: Uint8Array): Either<Refusal, ParsedBody> =>
     parseJson(CompletionRequest, body).map(req => ({
         model: req.model,
         prompt: req.prompt,
@@ -40,15 +40,15 @@
         body: req,
     }));
 
-/** Finds `model` or `model:adapter` in the configuration. */
-const findModel = (cfg: Configuration, asked: string): Served | undefined => {
-    const exact = cfg.models.get(asked as ModelName);
+/** Looks up `model` or `model:adapter` in the configuration. */
+const findModel = (cfg: Configuration, requestedName: string): ResolvedModel | undefined => {
+    const exact = cfg.models.get(requestedName as ModelName);
     if (exact !== undefined) {
         return { spec: exact, adapter: undefined };
     }
-    const split = asked.lastIndexOf(":");
-    const spec = cfg.models.get(asked.slice(0, Math.max(0, split)) as ModelName);
-    const adapter = spec?.adapters.find(name => name === asked.slice(split + 1));
+    const colon = requestedName.lastIndexOf(":");
+    const spec = cfg.models.get(requestedName.slice(0, Math.max(0, colon)) as ModelName);
+    const adapter = spec?.adapters.find(name => name === requestedName.slice(colon + 1));
     return spec === undefined || adapter === undefined ? undefined : { spec, adapter };
 };
 
@@ -56,13 +56,12 @@
     cfg.organisations.get(organisation)?.models?.includes(model) ?? true;
 
 /**
- * Reads a call to a model and resolves it against the configuration.
+ * Parses a call to a model and resolves it against the configuration.
  *
- * @param cfg configuration in force
- * @param organisation whose key came with the call
- * @param versionOf the version of a model that new requests get
+ * @param organisation organisation of the caller's key
+ * @param versionOf returns the weights version of a model for new requests
  * @param path `/v1/chat/completions` or `/v1/completions`
- * @param body the body as it came
+ * @param body the unparsed body
  * @returns Left with `bad-request`, `unknown-model` or `not-allowed`
  */
 export function parseModelCall(
@@ -72,13 +71,13 @@
     path: string,
     body: Uint8Array,
 ): Either<Refusal, ModelCall> {
-    const read = path === CHAT_PATH ? readChat(body) : readCompletion(body);
-    return read.chain(prompted => {
-        const served = findModel(cfg, prompted.model);
-        if (served === undefined) {
+    const parsed = path === CHAT_PATH ? parseChat(body) : parseCompletion(body);
+    return parsed.chain(parsedBody => {
+        const resolved = findModel(cfg, parsedBody.model);
+        if (resolved === undefined) {
             return Left(refusalOf("unknown-model"));
         }
-        const { spec, adapter } = served;
+        const { spec, adapter } = resolved;
         if (!mayUse(cfg, organisation, spec.name)) {
             return Left(refusalOf("not-allowed"));
         }
@@ -91,12 +90,12 @@
             version,
             adapter,
             cacheSalt: salt,
-            pieces: pieceHashes(salt, prompted.prompt, spec.pieceTokens),
+            pieces: pieceHashes(salt, parsedBody.prompt, spec.pieceTokens),
             pieceTokens: spec.pieceTokens,
-            promptTokens: approximateTokens(prompted.prompt),
-            maxTokens: prompted.maxTokens ?? spec.defaultMaxTokens,
-            stream: prompted.stream,
-            body: prompted.body,
+            promptTokens: approximateTokens(parsedBody.prompt),
+            maxTokens: parsedBody.maxTokens ?? spec.defaultMaxTokens,
+            stream: parsedBody.stream,
+            body: parsedBody.body,
         });
     });
 }
--- a/packages/daemon/src/gateway/parseServiceCall.ts
+++ b/packages/daemon/src/gateway/parseServiceCall.ts
@@ -8,21 +8,21 @@
 
 import type { ServiceCall } from "../ports/ServiceCall.js";
 
-const PREFIX = /^\/v1\/services\/([^/?]+)(\/[^?]*)?(\?.*)?$/;
+const SERVICE_URL = /^\/v1\/services\/([^/?]+)(\/[^?]*)?(\?.*)?$/;
 const IDEMPOTENCY_KEY = /^[\x21-\x7e][\x20-\x7e]{0,254}$/;
 const DOT_SEGMENT = /(^|[/\\])\.{1,2}([/\\]|$)/;
 
-/** A path in the one form that routes are matched with and that goes to the service. */
+/** A normalised path: as sent to the service, and decoded to match routes with. */
 type ServicePath = { readonly sent: string; readonly decoded: string; };
 
 /**
- * Brings a path into one form.
+ * Returns a path in normalised form; undefined if it is invalid or contains a dot segment.
  *
- * Failure: a path such as `/lookup/..%2Fbookings` matches a route that may be repeated, and the service or a library on
- * the way makes `/bookings` of it, which then runs twice. Guard: routes are matched with the decoded form of exactly
- * what is sent, and a path that still holds a dot segment is refused.
+ * A path such as `/lookup/..%2Fbookings` could match a route that may be repeated, while the service or a library on the
+ * way resolves it to `/bookings`, which would then run twice. To prevent this, routes are matched with the decoded form
+ * of exactly what is sent, and a path that still contains a dot segment is refused.
  */
-const servicePath = (raw: string, query: string): ServicePath | undefined => {
+const normalisePath = (raw: string, query: string): ServicePath | undefined => {
     try {
         const { pathname, search } = new URL(`http://service${raw}${query}`);
         const decoded = decodeURIComponent(pathname);
@@ -44,12 +44,12 @@
     req: IncomingMessage,
     body: Uint8Array,
 ): Either<Refusal, ServiceCall> {
-    const match = PREFIX.exec(req.url ?? "");
+    const match = SERVICE_URL.exec(req.url ?? "");
     const spec = cfg.services.get(match?.[1] as ServiceName);
     if (match === null || spec === undefined) {
         return Left(refusalOf("unknown-service"));
     }
-    const path = servicePath(match[2] ?? "/", match[3] ?? "");
+    const path = normalisePath(match[2] ?? "/", match[3] ?? "");
     if (path === undefined) {
         return Left(refusalOf("bad-request", "The path is not valid, or holds a dot segment."));
     }
--- a/packages/daemon/src/gateway/recheckCall.ts
+++ b/packages/daemon/src/gateway/recheckCall.ts
@@ -7,10 +7,10 @@
 import type { ReleasePort } from "../ports/ReleasePort.js";
 
 /**
- * Makes the check of a call's key that is repeated before every try.
+ * Creates the check of a call's key that is repeated before every try.
  *
- * Failure: a key is withdrawn while its request waits in a queue, or between two tries. It shows as work done for a
- * withdrawn key. Guard: the key's id is looked up in the newest configuration right before each byte that goes out.
+ * A key may be withdrawn while its request waits in a queue or between two tries. Symptom: work done for a withdrawn key.
+ * To prevent this, the key's id is looked up in the newest configuration right before each try is sent.
  */
 export function recheckCall(release: ReleasePort): (call: Call) => Either<Refusal, Call> {
     return call =>
--- a/packages/daemon/src/gateway/serveHealth.ts
+++ b/packages/daemon/src/gateway/serveHealth.ts
@@ -3,16 +3,16 @@
 const STATUS_OK = 200;
 const STATUS_UNAVAILABLE = 503;
 
-/** What the health answers are made from. */
+/** State that the health endpoints report. */
 type Health = {
     readonly isReady: () => boolean;
     readonly isDraining: () => boolean;
 };
 
 /**
- * Answers `/healthz` (the process lives) and `/readyz` (the balancer may send requests here).
+ * Answers `/healthz` (the process is alive) and `/readyz` (the load balancer may send requests to this daemon).
  *
- * @returns whether the request was one of these
+ * @returns whether the request was for one of these paths
  */
 export function serveHealth(req: IncomingMessage, res: ServerResponse, health: Health): boolean {
     const send = (status: number, text: string): boolean => {
--- a/packages/daemon/src/gateway/serveModel.ts
+++ b/packages/daemon/src/gateway/serveModel.ts
@@ -12,9 +12,9 @@
 import type { GatewayParts } from "./GatewayParts.js";
 
 /**
- * Serves one call to a model: charges the upper estimate of its tokens, dispatches it, and settles what it used.
+ * Serves one call to a model: reserves the upper estimate of its tokens, dispatches it, and settles the tokens used.
  *
- * @returns Right when the caller has its whole answer
+ * @returns Right once the caller has been sent the complete answer
  */
 export async function serveModel(
     parts: GatewayParts,
@@ -25,7 +25,7 @@
     const { ctx, suspects } = parts.dispatch;
     const estimate = target.promptTokens + target.maxTokens;
     const reserved = await suspects.check(call).caseOf<Promise<Either<Refusal, Reservation>>>({
-        Left: refused => Promise.resolve(Left(refused)),
+        Left: refusal => Promise.resolve(Left(refusal)),
         Right: valid => parts.allowance.reserve(valid.organisation, estimate, valid.deadline, valid.signal),
     });
     if (reserved.isLeft()) {
@@ -41,5 +41,5 @@
     return used.map(() => undefined);
 }
 
-/** Tokens that a refused request counts for: none where it did not run, else all that was estimated. */
-const usedAfterRefusal = (estimate: number) => (refused: Refusal): number => refused.ran === "no" ? 0 : estimate;
+/** Returns the tokens charged for a refused request: none if it did not run, else the whole estimate. */
+const usedAfterRefusal = (estimate: number) => (refusal: Refusal): number => refusal.ran === "no" ? 0 : estimate;
--- a/packages/daemon/src/gateway/serveService.ts
+++ b/packages/daemon/src/gateway/serveService.ts
@@ -16,8 +16,8 @@
 
 const DEFAULT_TIMEOUT_MS = 10_000;
 
-/** Without a key there is no intent; the decision on further tries alone keeps the call to one run. */
-const ONE_TRY_AT_A_TIME: DispatchPermit = { begin: () => true, notRun: () => undefined };
+/** Permit of a call without an idempotency key. It has no intent; the retry policy alone keeps it from running twice. */
+const PERMIT_WITHOUT_INTENT: DispatchPermit = { begin: () => true, notRun: () => undefined };
 
 const send = (call: Call, res: ServerResponse, answer: RecordedAnswer, replayed: boolean): void => {
     res.writeHead(answer.status, {
@@ -28,8 +28,8 @@
     res.end(Buffer.from(answer.body, "base64"));
 };
 
-/** Dispatches under an intent: the outcome is recorded before the caller gets it. */
-async function dispatchOnce(
+/** Dispatches a call under an intent. The outcome is recorded before the caller receives it. */
+async function dispatchUnderIntent(
     parts: GatewayParts,
     call: Call,
     target: ServiceCall,
@@ -42,17 +42,17 @@
             throw err;
         });
     await answered.caseOf({
-        Left: refused => refused.ran === "no" ? admission.withdraw() : admission.complete(undefined),
+        Left: refusal => refusal.ran === "no" ? admission.withdraw() : admission.complete(undefined),
         Right: answer => admission.complete(answer),
     });
     return answered;
 }
 
 /**
- * Serves one call to a plain service. A call that may not be repeated and has an idempotency key runs only under an
- * intent of this daemon.
+ * Serves one call to a plain service: reserves its cost, dispatches it, and settles the cost. A call that may not be
+ * repeated and has an idempotency key runs only under an intent of this daemon.
  *
- * @returns Right when the caller has its whole answer
+ * @returns Right once the caller has been sent the complete answer
  */
 export async function serveService(
     parts: GatewayParts,
@@ -69,19 +69,19 @@
         return Left(reserved.extract() as Refusal);
     }
     const reservation = reserved.extract() as Reservation;
-    const answered = await serveOnce(parts, call, target, timeoutMs, res).catch((err: unknown) => {
+    const answered = await serveReserved(parts, call, target, timeoutMs, res).catch((err: unknown) => {
         parts.allowance.settle(reservation, cost);
         throw err;
     });
     parts.allowance.settle(
         reservation,
-        answered.caseOf({ Left: refused => refused.ran === "no" ? 0 : cost, Right: () => cost }),
+        answered.caseOf({ Left: refusal => refusal.ran === "no" ? 0 : cost, Right: () => cost }),
     );
     return answered;
 }
 
-/** Under an intent where the call may not be repeated and its caller gave a key, else as it is. */
-async function serveOnce(
+/** Dispatches under an intent if the call may not be repeated and has an idempotency key, else without one. */
+async function serveReserved(
     parts: GatewayParts,
     call: Call,
     target: ServiceCall,
@@ -91,7 +91,7 @@
     if (!target.repeatable && target.idempotencyKey !== undefined) {
         return await serveUnderIntent(parts, call, target, timeoutMs, res);
     }
-    const answered = await dispatchService(parts.dispatch, call, target, timeoutMs, ONE_TRY_AT_A_TIME);
+    const answered = await dispatchService(parts.dispatch, call, target, timeoutMs, PERMIT_WITHOUT_INTENT);
     return answered.map(answer => send(call, res, answer, false));
 }
 
@@ -104,13 +104,13 @@
 ): Promise<Either<Refusal, void>> {
     const admitted = await parts.intents.admit(call);
     return admitted.caseOf<Promise<Either<Refusal, void>>>({
-        Left: refused => Promise.resolve(Left(refused)),
+        Left: refusal => Promise.resolve(Left(refusal)),
         Right: async admission => {
             if (admission.kind === "recorded") {
                 send(call, res, admission.answer, true);
                 return Right(undefined);
             }
-            const answered = await dispatchOnce(parts, call, target, timeoutMs, admission);
+            const answered = await dispatchUnderIntent(parts, call, target, timeoutMs, admission);
             return answered.map(answer => send(call, res, answer, false));
         },
     });
--- a/packages/daemon/src/gateway/startCallerListener.ts
+++ b/packages/daemon/src/gateway/startCallerListener.ts
@@ -7,30 +7,31 @@
 import { serveHealth } from "./serveHealth.js";
 import { startHttpServer } from "./startHttpServer.js";
 
-const IDLE_CHECK_MS = 50;
+const IDLE_RECHECK_MS = 50;
 
-/** The listener that callers reach. */
+/** The listener for callers' requests. */
 type CallerListener = {
     /**
-     * Ends the listener without cutting a request, and settles when all are done or the bound of the settings is over.
+     * Stops the listener gracefully; settles when all requests have ended or `limits.drainMs` has elapsed.
      *
-     * Failure: the balancer sends requests here for a moment after this daemon has begun to stop, over kept-open
-     * connections too; they would be refused or cut. Guard: readiness goes red first, while requests are still served
-     * and each answer closes its connection; only then no new connections are taken, and what runs is waited for.
+     * The load balancer keeps sending requests for a moment after this daemon starts to shut down, also on idle
+     * connections; they would be refused or cut off. To prevent this, `/readyz` fails first, for `limits.announceMs`,
+     * while requests are still served and each answer closes its connection. Only then are new connections refused and
+     * running requests awaited.
      */
     readonly drain: () => Promise<void>;
 };
 
 /**
- * Starts the callers' listener.
+ * Starts the listener for callers' requests.
  *
- * @throws Error when the address cannot be bound
+ * @throws Error if the address cannot be bound or a certificate cannot be read
  */
 export async function startCallerListener(parts: GatewayParts): Promise<CallerListener> {
     const { ctx } = parts.dispatch;
     const { settings } = ctx;
-    const serving = { refuses: false };
-    const serve = createCallerHandler(parts, () => serving.refuses);
+    const shutdown = { isDone: false };
+    const serve = createCallerHandler(parts, () => shutdown.isDone);
     const running = { requests: 0 };
     ctx.metrics.gauge("azureshunt_requests_running", "Callers' requests that run now.", () => running.requests);
 
@@ -59,7 +60,7 @@
         handler,
     });
 
-    const untilIdle = (giveUpAt: Millis): Promise<void> =>
+    const waitUntilIdle = (giveUpAt: Millis): Promise<void> =>
         new Promise(resolve => {
             const timer = setInterval(() => {
                 server.closeIdleConnections();
@@ -67,15 +68,15 @@
                     clearInterval(timer);
                     resolve();
                 }
-            }, IDLE_CHECK_MS);
+            }, IDLE_RECHECK_MS);
         });
 
     const drain: CallerListener["drain"] = async () => {
         const { announceMs, drainMs } = settings.limits;
         await new Promise(resolve => setTimeout(resolve, announceMs));
         server.close();
-        await untilIdle(ctx.clock.now() + drainMs);
-        serving.refuses = true;
+        await waitUntilIdle(ctx.clock.now() + drainMs);
+        shutdown.isDone = true;
         server.closeAllConnections();
     };
     return { drain };
--- a/packages/daemon/src/gateway/startHttpServer.ts
+++ b/packages/daemon/src/gateway/startHttpServer.ts
@@ -7,12 +7,12 @@
 
 const HEADERS_TIMEOUT_MS = 10_000;
 const REQUEST_TIMEOUT_MS = 60_000;
-const KEEP_ALIVE_MS = 65_000;
+const MAX_IDLE_MS = 65_000;
 
 /** Answers one HTTP request; must not reject. */
 type HttpHandler = (req: IncomingMessage, res: ServerResponse) => void;
 
-/** What one HTTP listener is started with. */
+/** Inputs of `startHttpServer`. */
 type HttpServerParts = {
     /** `host:port`. */
     readonly address: string;
@@ -32,9 +32,9 @@
     }, handler);
 
 /**
- * Starts an HTTP listener with bounds on headers, connections and time, with TLS where settings give certificates.
+ * Starts an HTTP listener with limits on header size, connections and time, with TLS if certificates are configured.
  *
- * @throws Error when the address cannot be bound or a certificate cannot be read
+ * @throws Error if the address cannot be bound or a certificate cannot be read
  */
 export async function startHttpServer(parts: HttpServerParts): Promise<Server> {
     const { address, tls, limits, handler } = parts;
@@ -43,11 +43,11 @@
     server.maxConnections = limits.connections;
     server.headersTimeout = HEADERS_TIMEOUT_MS;
     server.requestTimeout = REQUEST_TIMEOUT_MS;
-    server.keepAliveTimeout = KEEP_ALIVE_MS;
-    const split = address.lastIndexOf(":");
+    server.keepAliveTimeout = MAX_IDLE_MS;
+    const colon = address.lastIndexOf(":");
     await new Promise<void>((resolve, reject) => {
         server.once("error", reject);
-        server.listen(Number(address.slice(split + 1)), address.slice(0, split), resolve);
+        server.listen(Number(address.slice(colon + 1)), address.slice(0, colon), resolve);
     });
     return server;
 }
--- a/packages/daemon/src/intent/OwnIntents.ts
+++ b/packages/daemon/src/intent/OwnIntents.ts
@@ -1,20 +1,20 @@
 import type { Millis, RecordId } from "@azureshunt/core";
 import type { IntentOutcome, KeyDigest, OwnerReply, OwnIntent } from "@azureshunt/intent";
 
-/** The intents that this process has written. */
+/** The intents of this process, and how far each has come. */
 export type OwnIntents = {
     readonly open: (intentId: RecordId, key: KeyDigest, fingerprint: string, now: Millis) => void;
-    /** The intent that this process has written last for a key and not ended. */
+    /** Returns the intent of a key that is open or begun; undefined if there is none. */
     readonly running: (key: KeyDigest) => OwnIntent | undefined;
-    /** Marks as begun; false when the intent may not be used any more. */
+    /** Marks an intent as begun; returns false if it may no longer be used. */
     readonly begin: (intentId: RecordId, now: Millis) => boolean;
-    /** Takes the begin back, after a try that surely did not run the request. */
+    /** Marks a begun intent as open again, after a try that certainly did not run the request. */
     readonly reopen: (intentId: RecordId) => void;
-    /** Marks as withdrawn; false when it has begun. */
+    /** Marks an intent as withdrawn; returns false if it has begun. */
     readonly withdraw: (intentId: RecordId) => boolean;
     readonly end: (intentId: RecordId, outcome: IntentOutcome) => void;
-    /** Forgets an intent whose end is in the log. */
+    /** Deletes an intent, once its end is in the log or it was not used. */
     readonly forget: (intentId: RecordId) => void;
-    /** What to say to a VM that asks. */
+    /** Returns the reply to a VM that queries an intent; `absent` if this process does not have it. */
     readonly reply: (intentId: RecordId) => Pick<OwnerReply, "phase" | "outcome">;
 };
--- a/packages/daemon/src/intent/PartitionLog.ts
+++ b/packages/daemon/src/intent/PartitionLog.ts
@@ -2,15 +2,15 @@
 import type { IntentPartition, IntentRecord } from "@azureshunt/intent";
 import type { Either } from "purify-ts";
 
-/** One partition of the intents, as the log has it. */
+/** The log stream of one partition of the intents. */
 export type PartitionLog = {
-    /** What has been read so far. */
+    /** Returns the state of the records read so far. */
     readonly view: () => IntentPartition;
-    /** Reads up to an end that the log had after this call. Left when the log can't be read. */
+    /** Reads up to the log's end, taken after this call. Left if the log can't be read. */
     readonly catchUp: () => Promise<Either<Error, IntentPartition>>;
-    /** Appends, together with what others append meanwhile. `unreachable` has no effect, `lost` may have one. */
+    /** Appends a record, batched with other appends. `unreachable`: nothing was written; `lost`: it may have been. */
     readonly append: (id: RecordId, record: IntentRecord) => Promise<Either<"unreachable" | "lost", void>>;
-    /** Has the record of this id noticed; the returned function tells whether it has been read. */
+    /** Watches for the record of an id; the returned function returns whether the record has been read. */
     readonly watch: (id: RecordId) => () => boolean;
     readonly unwatch: (id: RecordId) => void;
     readonly stop: () => void;
--- a/packages/daemon/src/intent/admitIntent.ts
+++ b/packages/daemon/src/intent/admitIntent.ts
@@ -11,18 +11,18 @@
 import type { Call } from "../ports/Call.js";
 import type { IntentAdmission } from "../ports/IntentAdmission.js";
 import type { RecordedAnswer } from "../ports/RecordedAnswer.js";
-import { askOwner } from "./askOwner.js";
 import { fingerprintService } from "./fingerprintService.js";
 import type { IntentParts } from "./IntentParts.js";
 import type { PartitionLog } from "./PartitionLog.js";
+import { queryOwner } from "./queryOwner.js";
 
 type Admitted = Either<Refusal, IntentAdmission>;
 
-/** How often and how long a lost append is looked for, or a key about to become free is looked at again. */
-const LOOK_AGAIN_MS = 50;
+/** Time to the next check for a lost append, or of a key that is about to become free. */
+const RECHECK_MS = 50;
 
-/** One request on its way to its key. */
-type Admission = {
+/** A request that tries to obtain its idempotency key. */
+type IntentAttempt = {
     readonly parts: IntentParts;
     readonly call: Call;
     readonly log: PartitionLog;
@@ -32,7 +32,7 @@
 
 const refuse = (kind: ErrorKind, detail?: string): Admitted => Left(refusalOf(kind, detail));
 
-const ended = (outcome: IntentOutcome): Admitted => {
+const admitEnded = (outcome: IntentOutcome): Admitted => {
     switch (outcome.kind) {
         case "answered": {
             const { status, contentType, body } = outcome.answer;
@@ -54,91 +54,92 @@
     return answer.body.length > INTENT_LIMITS.answerBytes ? { kind: "unkept" } : { kind: "answered", answer };
 };
 
-const isOver = ({ parts, call }: Admission): boolean => call.signal.aborted || parts.ctx.clock.now() >= call.deadline;
+const isOver = ({ parts, call }: IntentAttempt): boolean =>
+    call.signal.aborted || parts.ctx.clock.now() >= call.deadline;
 
-const ownReply = ({ parts }: Admission, entry: IntentEntry): OwnerReply => {
-    const said = parts.own.reply(entry.intentId);
-    if (said.phase === "withdrawn") {
-        parts.recorder.withdrawAgain(entry.intentId);
+const ownReply = ({ parts }: IntentAttempt, entry: IntentEntry): OwnerReply => {
+    const reply = parts.own.reply(entry.intentId);
+    if (reply.phase === "withdrawn") {
+        parts.recorder.repeatWithdrawal(entry.intentId);
     }
-    return { incarnation: parts.ctx.incarnation, ...said };
+    return { incarnation: parts.ctx.incarnation, ...reply };
 };
 
-/** Another intent holds the key: asks its writer. */
-async function standBehind(admission: Admission, entry: IntentEntry): Promise<Admitted> {
-    const { parts, log } = admission;
+/** Decides on a request whose key another intent holds, after querying the VM that wrote that intent. */
+async function resolveTakenKey(attempt: IntentAttempt, entry: IntentEntry): Promise<Admitted> {
+    const { parts, log } = attempt;
     const { ctx } = parts;
-    const reply = entry.vm === ctx.settings.vm ? ownReply(admission, entry) : await askOwner(ctx, entry);
+    const reply = entry.vm === ctx.settings.vm ? ownReply(attempt, entry) : await queryOwner(ctx, entry);
     const isListed = ctx.membership.members().some(member => member.vm === entry.vm);
-    const verdict = verdictOfTaken(entry, reply, isListed, log.view().lastAt);
-    switch (verdict.kind) {
+    const decision = verdictOfTaken(entry, reply, isListed, log.view().lastAt);
+    switch (decision.kind) {
         case "running":
             return refuse("intent-running", reply === undefined ? `${entry.vm} cannot be reached.` : undefined);
         case "ended":
-            return ended(verdict.outcome);
+            return admitEnded(decision.outcome);
         case "retry": {
-            await sleep(LOOK_AGAIN_MS);
-            return isOver(admission) ? refuse("intent-running") : approach(admission);
+            await sleep(RECHECK_MS);
+            return isOver(attempt) ? refuse("intent-running") : admitByLog(attempt);
         }
     }
 }
 
-function dispatchUnder({ parts, key }: Admission, intentId: RecordId): Admitted {
+function dispatchAdmission({ parts, key }: IntentAttempt, intentId: RecordId): Admitted {
     const { ctx, own, recorder } = parts;
     return Right({
         kind: "dispatch",
         begin: () => own.begin(intentId, ctx.clock.now()),
         notRun: () => own.reopen(intentId),
-        complete: answer => recorder.end(intentId, key, outcomeOf(answer)),
+        complete: answer => recorder.recordOutcome(intentId, key, outcomeOf(answer)),
         withdraw: () => recorder.withdraw(intentId, key),
     });
 }
 
-function followStanding(
-    admission: Admission,
-    standing: IntentStanding,
+function admitByStatus(
+    attempt: IntentAttempt,
+    status: IntentStanding,
     intentId: RecordId | undefined,
 ): Promise<Admitted> {
-    switch (standing.kind) {
+    switch (status.kind) {
         case "owner":
             return Promise.resolve(
-                intentId === undefined ? refuse("intent-running") : dispatchUnder(admission, intentId),
+                intentId === undefined ? refuse("intent-running") : dispatchAdmission(attempt, intentId),
             );
         case "free":
-            return isOver(admission) ? Promise.resolve(refuse("deadline-exceeded")) : writeIntent(admission);
+            return isOver(attempt) ? Promise.resolve(refuse("deadline-exceeded")) : writeIntent(attempt);
         case "reused":
             return Promise.resolve(refuse("intent-key-reused"));
         case "window-lost":
             return Promise.resolve(refuse("intent-window-lost"));
         case "ended":
-            return Promise.resolve(ended(standing.outcome));
+            return Promise.resolve(admitEnded(status.outcome));
         case "taken":
-            return standBehind(admission, standing.entry);
+            return resolveTakenKey(attempt, status.entry);
     }
 }
 
-/** Looks for a record until it has been read back, the log fails, or the call's time is over. */
-async function readBack(admission: Admission, isSeen: () => boolean): Promise<boolean> {
-    const caught = await admission.log.catchUp();
+/** Reads the log until a record has been read back, the log fails, or the call is over; returns whether it was read. */
+async function readBack(attempt: IntentAttempt, isSeen: () => boolean): Promise<boolean> {
+    const read = await attempt.log.catchUp();
     if (isSeen()) {
         return true;
     }
-    if (caught.isLeft() || isOver(admission)) {
+    if (read.isLeft() || isOver(attempt)) {
         return false;
     }
-    await sleep(LOOK_AGAIN_MS);
-    return readBack(admission, isSeen);
+    await sleep(RECHECK_MS);
+    return readBack(attempt, isSeen);
 }
 
 /**
- * Writes the request's intent and goes by what the log says of it.
+ * Writes the request's intent, reads it back and decides by the log's state.
  *
- * Failure: the log takes the intent and loses the answer. It shows as an append whose effect is not known. Guard: only
- * the record as read back counts; an intent that is not read back in time is given up here before anything is answered,
- * so that it can never begin, and then withdrawn by record.
+ * The log may accept the intent while its answer is lost. Symptom: an append whose effect is unknown. Therefore only the
+ * record as read back counts. An intent that is not read back in time is withdrawn in this process before the caller is
+ * answered, so that it can never begin, and then withdrawn by a record.
  */
-async function writeIntent(admission: Admission): Promise<Admitted> {
-    const { parts, call, log, key, fingerprint } = admission;
+async function writeIntent(attempt: IntentAttempt): Promise<Admitted> {
+    const { parts, call, log, key, fingerprint } = attempt;
     const { ctx, own, recorder } = parts;
     const intentId = RecordId.parse(randomUUID());
     own.open(intentId, key, fingerprint, ctx.clock.now());
@@ -156,31 +157,31 @@
         own.forget(intentId);
         return refuse("log-unavailable");
     }
-    const isBack = await readBack(admission, isSeen);
+    const isReadBack = await readBack(attempt, isSeen);
     log.unwatch(intentId);
-    if (!isBack) {
+    if (!isReadBack) {
         await recorder.withdraw(intentId, key);
         return refuse("log-unavailable");
     }
-    const standing = standingOf(log.view(), { key, fingerprint, intentId }, INTENT_LIMITS.windowMs);
-    if (standing.kind === "window-lost") {
+    const status = standingOf(log.view(), { key, fingerprint, intentId }, INTENT_LIMITS.windowMs);
+    if (status.kind === "window-lost") {
         await recorder.withdraw(intentId, key);
     }
-    else if (standing.kind !== "owner") {
+    else if (status.kind !== "owner") {
         own.forget(intentId);
     }
-    return followStanding(admission, standing, intentId);
+    return admitByStatus(attempt, status, intentId);
 }
 
-/** Reads the log and looks how the request stands. */
-async function approach(admission: Admission): Promise<Admitted> {
-    const { log, key, fingerprint } = admission;
-    const caught = await log.catchUp();
-    return caught.caseOf<Promise<Admitted>>({
+/** Reads the log and decides by the status of the request's key. */
+async function admitByLog(attempt: IntentAttempt): Promise<Admitted> {
+    const { log, key, fingerprint } = attempt;
+    const read = await log.catchUp();
+    return read.caseOf<Promise<Admitted>>({
         Left: () => Promise.resolve(refuse("log-unavailable")),
         Right: view =>
-            followStanding(
-                admission,
+            admitByStatus(
+                attempt,
                 standingOf(view, { key, fingerprint, intentId: undefined }, INTENT_LIMITS.windowMs),
                 undefined,
             ),
@@ -197,9 +198,9 @@
     const fingerprint = fingerprintService(target);
     const running = parts.own.running(key);
     const admitted = running === undefined
-        ? await approach({ parts, call, log: parts.partition(partitionOf(key)), key, fingerprint })
+        ? await admitByLog({ parts, call, log: parts.partition(partitionOf(key)), key, fingerprint })
         : refuse(running.fingerprint === fingerprint ? "intent-running" : "intent-key-reused");
-    const result = admitted.caseOf({ Left: refused => refused.kind as string, Right: ({ kind }) => kind });
+    const result = admitted.caseOf({ Left: refusal => refusal.kind as string, Right: ({ kind }) => kind });
     parts.ctx.metrics.count("azureshunt_intents_total", "Calls with an idempotency key, by what came of them.", {
         result,
     });
--- a/packages/daemon/src/intent/createIntentPort.ts
+++ b/packages/daemon/src/intent/createIntentPort.ts
@@ -4,47 +4,47 @@
 import type { DaemonContext } from "../ports/DaemonContext.js";
 import type { IntentPort } from "../ports/IntentPort.js";
 import { admitIntent } from "./admitIntent.js";
+import { createIntentRecorder } from "./createIntentRecorder.js";
 import { createOwnIntents } from "./createOwnIntents.js";
 import { createPartitionLog } from "./createPartitionLog.js";
-import { createRecorder } from "./createRecorder.js";
-import { keepSnapshots } from "./keepSnapshots.js";
 import type { PartitionLog } from "./PartitionLog.js";
+import { startSnapshots } from "./startSnapshots.js";
 
-const FORGET_CHECK_MS = 60_000;
-const UNUSED_MS = 15 * FORGET_CHECK_MS;
+const UNUSED_CHECK_MS = 60_000;
+const MAX_UNUSED_MS = 15 * UNUSED_CHECK_MS;
 
-type Used = { readonly log: PartitionLog; readonly at: number; };
+type OpenPartition = { readonly log: PartitionLog; readonly lastUsedAt: number; };
 
 /**
- * Starts what decides whether a request that may not be repeated may be dispatched. Partitions are read when they are
- * first used and forgotten when they are not used for long, so that no VM holds all of them.
+ * Starts the intent port. A partition is read when it is first used and dropped after `MAX_UNUSED_MS` without use, so that
+ * no VM keeps all of them.
  */
 export function createIntentPort(ctx: DaemonContext): IntentPort & { readonly stop: () => void; } {
-    const used = new Map<number, Used>();
+    const partitions = new Map<number, OpenPartition>();
     const own = createOwnIntents();
 
     const partition = (number: number): PartitionLog => {
-        const log = used.get(number)?.log ?? createPartitionLog(ctx, number);
-        used.set(number, { log, at: ctx.clock.now() });
+        const log = partitions.get(number)?.log ?? createPartitionLog(ctx, number);
+        partitions.set(number, { log, lastUsedAt: ctx.clock.now() });
         return log;
     };
-    const recorder = createRecorder(ctx, own, partition);
+    const recorder = createIntentRecorder(ctx, own, partition);
 
     const forgetUnused = (): void =>
-        [...used]
-            .filter(([, { at }]) => ctx.clock.now() - at > UNUSED_MS)
+        [...partitions]
+            .filter(([, { lastUsedAt }]) => ctx.clock.now() - lastUsedAt > MAX_UNUSED_MS)
             .forEach(([number, { log }]) => {
                 log.stop();
-                used.delete(number);
+                partitions.delete(number);
             });
-    const timer = setInterval(forgetUnused, FORGET_CHECK_MS);
+    const timer = setInterval(forgetUnused, UNUSED_CHECK_MS);
     timer.unref();
 
     const unregister = ctx.peers.handle("intent", body => {
         const { intentId } = body as { readonly intentId: RecordId; };
         const { phase, outcome } = own.reply(intentId);
         if (phase === "withdrawn") {
-            recorder.withdrawAgain(intentId);
+            recorder.repeatWithdrawal(intentId);
         }
         return Promise.resolve({
             incarnation: ctx.incarnation,
@@ -52,13 +52,17 @@
             outcome: outcome === undefined ? "" : JSON.stringify(outcome),
         });
     });
-    const endSnapshots = keepSnapshots(ctx, partition);
+    const stopSnapshots = startSnapshots(ctx, partition);
     const removeGauges = [
-        ctx.metrics.gauge("azureshunt_intent_partitions", "Intent partitions that this daemon reads.", () => used.size),
+        ctx.metrics.gauge(
+            "azureshunt_intent_partitions",
+            "Intent partitions that this daemon reads.",
+            () => partitions.size,
+        ),
         ctx.metrics.gauge(
             "azureshunt_intent_entries",
             `Keys that this daemon remembers, for ${INTENT_LIMITS.windowMs} ms each.`,
-            () => [...used.values()].reduce((sum, { log }) => sum + log.view().entries.size, 0),
+            () => [...partitions.values()].reduce((sum, { log }) => sum + log.view().entries.size, 0),
         ),
     ];
 
@@ -66,11 +70,11 @@
         admit: call => admitIntent({ ctx, own, recorder, partition }, call),
         stop: () => {
             clearInterval(timer);
-            endSnapshots();
+            stopSnapshots();
             unregister();
             removeGauges.forEach(remove => remove());
             recorder.stop();
-            [...used.values()].forEach(({ log }) => log.stop());
+            [...partitions.values()].forEach(({ log }) => log.stop());
         },
     };
 }
--- a/packages/daemon/src/intent/createRecorder.ts
+++ b/packages/daemon/src/intent/createIntentRecorder.ts
@@ -12,18 +12,19 @@
 
 const RETRY_MS = 500;
 
-/** How long a caller's answer waits for its record; repetitions elsewhere ask this process until it is there. */
-const ANSWER_WAIT_MS = 300;
+/** Maximum time that a caller's answer waits for its record. Until it is written, other VMs query this process. */
+const MAX_ANSWER_DELAY_MS = 300;
 
 /**
- * Makes the recorder of how this process's intents ended.
+ * Creates the recorder of how this process's intents ended.
  *
- * Failure: the log is down when a request ends. It shows as a repetition that gets no answer, or as a key that stays
- * taken. Guard: the record is tried again until it is there; meanwhile this process answers for it.
+ * The log may be unavailable when a request ends. Symptom: a repetition that gets no answer, or a key that stays taken.
+ * To prevent this, the record is retried until it is written, for the window of a key at most; meanwhile this process
+ * answers queries of other VMs.
  *
- * @param partition gives the log of a partition
+ * @param partition returns the log of a partition
  */
-export function createRecorder(
+export function createIntentRecorder(
     ctx: DaemonContext,
     own: OwnIntents,
     partition: (number: number) => PartitionLog,
@@ -42,9 +43,9 @@
         await sleep(RETRY_MS, undefined, { signal: stopped.signal }).catch(() => undefined);
         return record(key, data, giveUpAt);
     };
-    const recordUntilWindow = (key: KeyDigest, data: IntentRecord): Promise<void> =>
+    const recordWithinWindow = (key: KeyDigest, data: IntentRecord): Promise<void> =>
         record(key, data, ctx.clock.now() + INTENT_LIMITS.windowMs);
-    const forgetLater = (intentId: RecordId): void => {
+    const scheduleForget = (intentId: RecordId): void => {
         const timer = setTimeout(() => {
             own.forget(intentId);
             withdrawals.delete(intentId);
@@ -52,14 +53,14 @@
         timer.unref();
     };
     const withdrawRecord = (intentId: RecordId, key: KeyDigest): Promise<void> =>
-        recordUntilWindow(key, { type: "withdrawn", intentId, key });
+        recordWithinWindow(key, { type: "withdrawn", intentId, key });
 
     return {
-        end: async (intentId, key, outcome) => {
+        recordOutcome: async (intentId, key, outcome) => {
             own.end(intentId, outcome);
-            const recorded = recordUntilWindow(key, { type: "outcome", intentId, key, outcome })
-                .then(() => forgetLater(intentId));
-            await Promise.race([recorded, sleep(ANSWER_WAIT_MS)]);
+            const recorded = recordWithinWindow(key, { type: "outcome", intentId, key, outcome })
+                .then(() => scheduleForget(intentId));
+            await Promise.race([recorded, sleep(MAX_ANSWER_DELAY_MS)]);
         },
         withdraw: (intentId, key) => {
             if (!own.withdraw(intentId)) {
@@ -67,10 +68,10 @@
             }
             ctx.metrics.count("azureshunt_intent_withdrawals_total", "Intents withdrawn before anything was sent.");
             withdrawals.set(intentId, key);
-            void withdrawRecord(intentId, key).then(() => forgetLater(intentId));
+            void withdrawRecord(intentId, key).then(() => scheduleForget(intentId));
             return Promise.resolve();
         },
-        withdrawAgain: intentId => {
+        repeatWithdrawal: intentId => {
             const key = withdrawals.get(intentId);
             if (key !== undefined) {
                 void withdrawRecord(intentId, key);
--- a/packages/daemon/src/intent/createOwnIntents.ts
+++ b/packages/daemon/src/intent/createOwnIntents.ts
@@ -6,7 +6,7 @@
 
 const isRunning = (own: OwnIntent): boolean => own.phase === "open" || own.phase === "begun";
 
-/** Keeps the intents that this process has written. */
+/** Creates the table of this process's intents. */
 export function createOwnIntents(): OwnIntents {
     const intents = new Map<RecordId, OwnIntent>();
 
--- a/packages/daemon/src/intent/createPartitionLog.ts
+++ b/packages/daemon/src/intent/createPartitionLog.ts
@@ -9,8 +9,8 @@
 import type { DaemonContext } from "../ports/DaemonContext.js";
 import type { PartitionLog } from "./PartitionLog.js";
 
-const PAGE = 1_000;
-const LOAD_TRIES = 3;
+const PAGE_RECORDS = 1_000;
+const MAX_LOAD_RETRIES = 3;
 
 type LogRecord = { readonly offset: number; readonly id: RecordId; readonly at: number; readonly data?: unknown; };
 type PendingAppend = {
@@ -26,34 +26,35 @@
 };
 
 /**
- * Reads and writes one partition of the intents. Each direction is an actor that does one call at a time and takes along
- * all that has been asked for meanwhile, so that the log gets few and large calls.
+ * Creates a reader and writer of one partition of the intents. Each is an actor that makes one call at a time and batches
+ * all requests that arrive meanwhile, so that the log gets few, large calls.
  *
- * @param number the partition's, from 0
+ * @param number the partition's number, from 0
  */
 export function createPartitionLog(ctx: DaemonContext, number: number): PartitionLog {
     const stream = `intent-${number}`;
     const stopped = new AbortController();
     const watched = new Map<RecordId, boolean>();
-    const known: { partition: IntentPartition | undefined; } = { partition: undefined };
+    const state: { partition: IntentPartition | undefined; } = { partition: undefined };
     const pending: { appends: PendingAppend[]; reads: PendingRead[]; } = { appends: [], reads: [] };
 
-    const note = (records: readonly LoggedIntent[]): void =>
+    const markRead = (records: readonly LoggedIntent[]): void =>
         records.filter(({ id }) => watched.has(id)).forEach(({ id }) => watched.set(id, true));
 
-    const read = (from: number): ReturnType<LogPort["read"]> => ctx.log.read(stream, from, PAGE, 0, stopped.signal);
+    const read = (from: number): ReturnType<LogPort["read"]> =>
+        ctx.log.read(stream, from, PAGE_RECORDS, 0, stopped.signal);
 
-    /** Reads all that the log still keeps. The log may drop its oldest records meanwhile; then it begins anew. */
-    const load = async (from: number, triesLeft: number): Promise<Either<Error, IntentPartition>> => {
+    /** Reads all records that the log has. If the log drops its oldest records meanwhile, reading starts over. */
+    const load = async (from: number, retriesLeft: number): Promise<Either<Error, IntentPartition>> => {
         const collect = async (
             next: number,
-            sofar: readonly LoggedIntent[],
+            earlier: readonly LoggedIntent[],
         ): Promise<Either<number, LoggedIntent[]>> => {
             const page = await read(next);
             return page.caseOf<Promise<Either<number, LoggedIntent[]>>>({
                 Left: failure => Promise.resolve(Left(failure.kind === "expired" ? failure.start : -1)),
                 Right: ({ records, end }) => {
-                    const all = [...sofar, ...records.map(toLogged)];
+                    const all = [...earlier, ...records.map(toLogged)];
                     const after = next + records.length;
                     return records.length === 0 || after >= end ? Promise.resolve(Right(all)) : collect(after, all);
                 },
@@ -62,11 +63,11 @@
         const collected = await collect(from, []);
         return collected.caseOf<Promise<Either<Error, IntentPartition>>>({
             Left: start =>
-                start < 0 || triesLeft === 0
+                start < 0 || retriesLeft === 0
                     ? Promise.resolve(Left(new Error(`${stream} cannot be read`)))
-                    : load(start, triesLeft - 1),
+                    : load(start, retriesLeft - 1),
             Right: records => {
-                note(records);
+                markRead(records);
                 return Promise.resolve(Right(loadPartition(from, records, INTENT_LIMITS.windowMs)));
             },
         });
@@ -77,11 +78,11 @@
         return page.caseOf<Promise<Either<Error, IntentPartition>>>({
             Left: failure =>
                 failure.kind === "expired"
-                    ? load(failure.start, LOAD_TRIES)
+                    ? load(failure.start, MAX_LOAD_RETRIES)
                     : Promise.resolve(Left(new Error(`${stream} cannot be read`))),
             Right: ({ records, end }) => {
                 const logged = records.map(toLogged);
-                note(logged);
+                markRead(logged);
                 const folded = foldIntents(partition, logged, INTENT_LIMITS.windowMs);
                 return records.length === 0 || folded.next >= end
                     ? Promise.resolve(Right(folded))
@@ -96,9 +97,9 @@
         if (waiting.length === 0) {
             return;
         }
-        const result = await (known.partition === undefined ? load(0, LOAD_TRIES) : follow(known.partition));
+        const result = await (state.partition === undefined ? load(0, MAX_LOAD_RETRIES) : follow(state.partition));
         result.ifRight(partition => {
-            known.partition = partition;
+            state.partition = partition;
         });
         waiting.forEach(done => done(result));
     };
@@ -121,7 +122,7 @@
     const writer = spawn(ctx.system, appendAll, `${stream}-writer`, actorOptions as object);
 
     return {
-        view: () => known.partition ?? emptyPartition(0),
+        view: () => state.partition ?? emptyPartition(0),
         catchUp: () =>
             new Promise(resolve => {
                 pending.reads.push(resolve);
--- a/packages/daemon/src/intent/askOwner.ts
+++ b/packages/daemon/src/intent/queryOwner.ts
@@ -5,7 +5,7 @@
 
 import type { DaemonContext } from "../ports/DaemonContext.js";
 
-const ASK_BOUND_MS = 500;
+const QUERY_TIMEOUT_MS = 500;
 
 const Reply = z.object({
     incarnation: z.string(),
@@ -16,9 +16,9 @@
 const outcomeOf = (json: string): IntentOutcome | undefined =>
     json === "" ? undefined : IntentOutcome.parse(JSON.parse(json));
 
-/** Asks the VM that wrote an intent what became of it. Undefined when no answer comes in time. */
-export async function askOwner(ctx: DaemonContext, entry: IntentEntry): Promise<OwnerReply | undefined> {
-    const answer = await ctx.peers.exchange(entry.vm, "intent", { intentId: entry.intentId }, ASK_BOUND_MS);
+/** Queries the VM that wrote an intent for the intent's state. Returns undefined if no answer arrives in time. */
+export async function queryOwner(ctx: DaemonContext, entry: IntentEntry): Promise<OwnerReply | undefined> {
+    const answer = await ctx.peers.exchange(entry.vm, "intent", { intentId: entry.intentId }, QUERY_TIMEOUT_MS);
     return answer
         .map(body => Reply.safeParse(body))
         .map(parsed =>
--- a/packages/daemon/src/intent/keepSnapshots.ts
+++ b/packages/daemon/src/intent/startSnapshots.ts
@@ -8,22 +8,22 @@
 
 const CHECKS_PER_INTERVAL = 5;
 
-/** VMs that keep a partition: the first writes its snapshots, the next ones step in when they see none. */
-const KEEPERS = 3;
+/** VMs that keep each partition. The first writes its snapshots; the others do so later, if they see no new records. */
+const KEEPERS_PER_PARTITION = 3;
 
 /**
- * Carries every partition past the log's retention. A partition is kept by few VMs, chosen by its name, so that no VM
- * reads all of them where there are many VMs.
+ * Starts writing snapshots of the partitions, so that their entries outlive the log's retention. Each partition is kept by
+ * few VMs, chosen by its name, so that with many VMs no VM reads all partitions.
  *
- * Failure: no VM uses a partition for longer than the log keeps records. It shows as keys that nobody can vouch for, and
- * thus as refusals for a whole window. Guard: the keepers read it and write it anew in any case.
+ * No VM may use a partition for longer than the log's retention. Symptom: nobody can tell whether a key was used, so
+ * requests are refused for a whole window. To prevent this, the keepers read and rewrite the partition in any case.
  *
- * @param partition gives the log of a partition
- * @returns a function that ends it
+ * @param partition returns the log of a partition
+ * @returns a function that stops it
  */
-export function keepSnapshots(ctx: DaemonContext, partition: (number: number) => PartitionLog): () => void {
+export function startSnapshots(ctx: DaemonContext, partition: (number: number) => PartitionLog): () => void {
     const logger = ctx.logger("intents");
-    const written = new Map<number, number>();
+    const lastWrittenAt = new Map<number, number>();
 
     const rankFor = (number: number): number =>
         rendezvousOrder(`intent-${number}`, ctx.membership.members().map(member => member.vm))
@@ -32,24 +32,24 @@
     const keep = async (number: number, rank: number): Promise<void> => {
         const log = partition(number);
         const before = log.view().next;
-        const caught = await log.catchUp();
-        const view = caught.orDefault(log.view());
+        const read = await log.catchUp();
+        const view = read.orDefault(log.view());
         const now = ctx.clock.now();
-        const last = written.get(number) ?? now;
-        written.set(number, last);
+        const last = lastWrittenAt.get(number) ?? now;
+        lastWrittenAt.set(number, last);
         const isDue = now - last >= INTENT_LIMITS.snapshotMs * (rank + 1);
-        if (caught.isLeft() || view.next === 0 || !isDue || (rank > 0 && view.next > before)) {
+        if (read.isLeft() || view.next === 0 || !isDue || (rank > 0 && view.next > before)) {
             return;
         }
-        written.set(number, now);
+        lastWrittenAt.set(number, now);
         const records = snapshotRecords(view, RecordId.parse(`snapshot-${randomUUID()}`));
         await Promise.all(records.map(record => log.append(RecordId.parse(randomUUID()), record)));
-        logger.debug({ partition: number, entries: view.entries.size }, "Snapshot written.");
+        logger.debug({ partition: number, entries: view.entries.size }, "Wrote a snapshot of an intent partition.");
     };
 
     const round = (): void =>
         Array.from({ length: INTENT_LIMITS.partitions }, (_, number) => ({ number, rank: rankFor(number) }))
-            .filter(({ rank }) => rank >= 0 && rank < KEEPERS)
+            .filter(({ rank }) => rank >= 0 && rank < KEEPERS_PER_PARTITION)
             .forEach(({ number, rank }) => void keep(number, rank));
 
     const timer = setInterval(round, INTENT_LIMITS.snapshotMs / CHECKS_PER_INTERVAL);
--- a/packages/daemon/src/ports/AllowancePort.ts
+++ b/packages/daemon/src/ports/AllowancePort.ts
@@ -3,15 +3,15 @@
 
 import type { Reservation } from "./Reservation.js";
 
-/** Spends organisations' rate and burst. */
+/** Spends the rate and burst of organisations. */
 export type AllowancePort = {
-    /** Takes tokens for a request; waits for a grant where the organisation is inside its rate, up to the deadline. */
+    /** Reserves tokens for a request. If the organisation is within its rate, waits for a grant until the deadline. */
     readonly reserve: (
         organisation: OrganisationId,
         tokens: Tokens,
         deadline: Millis,
         signal: AbortSignal,
     ) => Promise<Either<Refusal, Reservation>>;
-    /** Ends a reservation with what was really used; the difference is given back or carried as debt. */
+    /** Ends a reservation with the tokens used; the difference is refunded or carried as debt. */
     readonly settle: (reservation: Reservation, usedTokens: Tokens) => void;
 };
--- a/packages/daemon/src/ports/Call.ts
+++ b/packages/daemon/src/ports/Call.ts
@@ -3,17 +3,17 @@
 import type { ModelCall } from "./ModelCall.js";
 import type { ServiceCall } from "./ServiceCall.js";
 
-/** One caller's request, checked and with its key replaced by the organisation that it belongs to. */
+/** One caller's validated request, with the key resolved to its id and organisation. */
 export type Call = {
     readonly id: RequestId;
     readonly organisation: OrganisationId;
     readonly keyId: KeyId;
     readonly arrivedAt: Millis;
-    /** When work that has not begun must not begin any more. */
+    /** Time after which work that has not started must not start. */
     readonly deadline: Millis;
-    /** 0 goes first, 9 last. */
+    /** From 0, the highest, to 9, the lowest. */
     readonly priority: number;
     readonly target: ModelCall | ServiceCall;
-    /** Aborted when the caller is gone. */
+    /** Aborted when the caller disconnects. */
     readonly signal: AbortSignal;
 };
--- a/packages/daemon/src/ports/DaemonContext.ts
+++ b/packages/daemon/src/ports/DaemonContext.ts
@@ -10,16 +10,16 @@
 import type { PeerPort } from "./PeerPort.js";
 import type { ReleasePort } from "./ReleasePort.js";
 
-/** What every part of the daemon is started with. */
+/** Dependencies that all parts of the daemon share. */
 export type DaemonContext = {
     readonly settings: Settings;
-    /** This run of the daemon. */
+    /** Incarnation of this daemon process. */
     readonly incarnation: Incarnation;
     readonly system: ActorSystemRef;
     readonly clock: Clock;
-    /** Uniform in [0, 1). */
+    /** Returns a random number, uniform in [0, 1). */
     readonly random: () => number;
-    /** Logger of a part; its name prefixes each line. */
+    /** Returns the logger of a part, whose name prefixes each line. */
     readonly logger: (part: string) => Logger;
     readonly metrics: Metrics;
     readonly release: ReleasePort;
--- a/packages/daemon/src/ports/IntentAdmission.ts
+++ b/packages/daemon/src/ports/IntentAdmission.ts
@@ -1,16 +1,19 @@
 import type { RecordedAnswer } from "./RecordedAnswer.js";
 
-/** What a non-repeatable request with an idempotency key may do. */
+/**
+ * How a request that may not be repeated and has an idempotency key is served. `dispatch`: under an intent of this
+ * process; `recorded`: with the answer that the log has.
+ */
 export type IntentAdmission =
     | {
         readonly kind: "dispatch";
-        /** To be called right before the first byte goes out; false when the intent may no longer be used. */
+        /** Called right before the first byte is sent; returns false if the intent may no longer be used. */
         readonly begin: () => boolean;
-        /** To be called after a try that surely did not run the request; `begin` may then be asked again. */
+        /** Called after a try that certainly did not run the request; `begin` may then be called again. */
         readonly notRun: () => void;
-        /** To be called with the answer, or with undefined when it may have run and the answer is lost. */
+        /** Called with the answer, or with undefined if the request may have run and its answer is lost. */
         readonly complete: (answer: RecordedAnswer | undefined) => Promise<void>;
-        /** To be called when the request surely has not run. */
+        /** Called if the request certainly has not run. */
         readonly withdraw: () => Promise<void>;
     }
     | { readonly kind: "recorded"; readonly answer: RecordedAnswer; };
--- a/packages/daemon/src/ports/MembershipPort.ts
+++ b/packages/daemon/src/ports/MembershipPort.ts
@@ -1,20 +1,20 @@
 import type { FailureDomain, Incarnation, VmId } from "@azureshunt/core";
 
-/** One entry VM as this daemon knows it. */
+/** One VM that serves callers, as this daemon knows it. */
 type Member = {
     readonly vm: VmId;
     readonly failureDomain: FailureDomain;
     readonly state: "live" | "leaving";
     readonly peer: string;
     readonly admin: string;
-    /** The run of the daemon there, once its join record or an exchange has told it. */
+    /** Incarnation of its daemon; undefined until a join record or an exchange states it. */
     readonly incarnation: Incarnation | undefined;
 };
 
-/** Which VMs exist. */
+/** Lists the member VMs. */
 export type MembershipPort = {
     readonly self: Member;
-    /** All members, this one among them. */
+    /** All members, including this VM. */
     readonly members: () => readonly Member[];
     readonly subscribe: (onChange: (members: readonly Member[]) => void) => () => void;
 };
--- a/packages/daemon/src/ports/ModelCall.ts
+++ b/packages/daemon/src/ports/ModelCall.ts
@@ -1,15 +1,15 @@
 import type { AdapterName, ModelName, PieceHash, Tokens, WeightsVersion } from "@azureshunt/core";
 
-/** What a call to a model asks for, resolved against the configuration in force. */
+/** A call to a model, resolved against the current configuration. */
 export type ModelCall = {
     readonly kind: "model";
-    /** Path towards the engine: `/v1/chat/completions` or `/v1/completions`. */
+    /** Path of the request to the engine: `/v1/chat/completions` or `/v1/completions`. */
     readonly path: string;
     readonly model: ModelName;
     readonly version: WeightsVersion;
     readonly adapter: AdapterName | undefined;
     readonly cacheSalt: string;
-    /** Chained hashes of the prompt's whole pieces. */
+    /** Chained hashes of the prompt's complete pieces. */
     readonly pieces: readonly PieceHash[];
     readonly pieceTokens: Tokens;
     readonly promptTokens: Tokens;
--- a/packages/daemon/src/ports/PeerPort.ts
+++ b/packages/daemon/src/ports/PeerPort.ts
@@ -1,7 +1,7 @@
 import type { FailureDomain, VmId } from "@azureshunt/core";
 import type { Either } from "purify-ts";
 
-/** One daemon as its peers reach it. */
+/** Another daemon and its address. */
 type Peer = { readonly vm: VmId; readonly failureDomain: FailureDomain; readonly address: string; };
 
 /**
@@ -10,8 +10,8 @@
  */
 export type PeerPort = {
     readonly peers: () => readonly Peer[];
-    /** Left holds the reason when no answer came within the bound; the peer may have acted all the same. */
+    /** Sends a message and returns the answer; Left with the reason if none came in time. The peer may have acted anyway. */
     readonly exchange: (to: VmId, kind: string, body: object, timeoutMs: number) => Promise<Either<Error, object>>;
-    /** Registers what answers a kind of message; returns the function that unregisters it. */
+    /** Registers the handler of a kind of message; returns a function that unregisters it. */
     readonly handle: (kind: string, answer: (body: object, from: VmId) => Promise<object>) => () => void;
 };
--- a/packages/daemon/src/ports/PlacementPort.ts
+++ b/packages/daemon/src/ports/PlacementPort.ts
@@ -7,10 +7,9 @@
 /** Chooses endpoints. */
 export type PlacementPort = {
     /**
-     * Chooses an endpoint for a try, waiting in the queue for its turn up to the call's deadline.
+     * Chooses an endpoint for a try; waits in the queue until the call's deadline at most.
      *
-     * @param call the request
-     * @param tried endpoints that failed this request already; taken again only when no other is left
+     * @param tried endpoints already tried for this request; chosen again only if no other is left
      */
     readonly place: (call: Call, tried: readonly EndpointName[]) => Promise<Either<Refusal, Placement>>;
 };
--- a/packages/daemon/src/ports/RecordedAnswer.ts
+++ b/packages/daemon/src/ports/RecordedAnswer.ts
@@ -1,4 +1,4 @@
-/** The answer of a plain service, as it is kept for repetitions of the request. */
+/** The answer of a plain service, as recorded for repetitions of the request. */
 export type RecordedAnswer = {
     readonly status: number;
     readonly contentType: string | undefined;
--- a/packages/daemon/src/ports/SuspectPort.ts
+++ b/packages/daemon/src/ports/SuspectPort.ts
@@ -6,25 +6,25 @@
 import type { Placement } from "./Placement.js";
 import type { SuspectRunEnd } from "./SuspectRunEnd.js";
 
-/** Tells how a request goes on at an endpoint. */
+/** Reports the progress of a request at an endpoint. */
 type SuspectRunHandle = {
-    /** To be called when the answer has begun. */
+    /** Called when the answer has started; may be called again. */
     readonly answering: () => void;
     /**
-     * To be called when the try is over; settles when a death of the endpoint has been judged, and nothing may be tried
-     * again before that.
+     * Called when the try ends. Settles once a possible death of the endpoint has been checked; the request must not be
+     * retried before that.
      */
     readonly end: (ended: SuspectRunEnd) => Promise<void>;
 };
 
-/** Remembers requests that were running on endpoints when these died. */
+/** Tracks requests that were running at endpoints when these died. */
 export type SuspectPort = {
-    /** Left with `request-crashes-endpoints` for a request that is quarantined, `request-quarantined` for one that is held. */
+    /** Left with `request-crashes-endpoints` if the request is quarantined, `request-quarantined` if it is withheld. */
     readonly check: (call: Call) => Either<Refusal, Call>;
-    /** Whether the request may be dispatched to an endpoint beside what this VM runs there. */
+    /** Returns whether the request may run at an endpoint together with the requests that this VM runs there. */
     readonly mayShare: (call: Call, endpoint: EndpointName) => boolean;
-    /** Asks, for a suspect, whether it may run at the endpoint beside what all VMs run; others are admitted at once. */
+    /** Checks whether a suspect may run at the endpoint, considering all VMs; other requests are admitted at once. */
     readonly admit: (call: Call, placement: Placement) => Promise<Admission>;
-    /** Tells that a request begins at an endpoint. */
+    /** Registers a request that starts at an endpoint. */
     readonly running: (call: Call, placement: Placement) => SuspectRunHandle;
 };
--- a/packages/daemon/src/ports/TracePort.ts
+++ b/packages/daemon/src/ports/TracePort.ts
@@ -1,15 +1,15 @@
 import type { RequestId } from "@azureshunt/core";
 
-/** One thing that happened to a request. `what` is a short sentence; values hold no key and no prompt. */
+/** One event of a request. `what` is a short description; `values` must not contain keys or prompts. */
 type TraceEvent = {
     readonly at: number;
     readonly what: string;
     readonly values: Readonly<Record<string, string | number | undefined>>;
 };
 
-/** Remembers what happened to the newest requests, for `azureshunt why`. */
+/** Keeps the events of the most recent requests, for `azureshunt why`. */
 export type TracePort = {
     readonly add: (id: RequestId, what: string, values?: TraceEvent["values"]) => void;
-    /** The events of a request in order; undefined when it is not remembered. */
+    /** Returns the events of a request in order; undefined if none are kept. */
     readonly get: (id: RequestId) => readonly TraceEvent[] | undefined;
 };
