--- a/packages/daemon/src/__tests__/fakes/fakeContext.ts
+++ b/packages/daemon/src/__tests__/fakes/fakeContext.ts
@@ -12,7 +12,7 @@
 /** A daemon's context without a network; the test declares its configuration. */
 type FakeContext = {
     readonly ctx: DaemonContext;
-    /** Puts a configuration with these endpoints in force. */
+    /** Applies a configuration with these endpoints, at the next revision. */
     readonly declare: (endpoints: readonly EndpointSpec[]) => void;
 };
 
