--- a/packages/history/src/ModelRun.ts
+++ b/packages/history/src/ModelRun.ts
@@ -1,8 +1,7 @@
-/** One request that a model engine ran, as the engine's own history has it. */
+/** One request that a model engine ran, read from the engine's own history. */
 export type ModelRun = {
     readonly organisation: string;
     readonly dispatchId: string;
-    /** Tokens of the prompt. */
     readonly promptTokens: number;
     /** Milliseconds since the epoch. */
     readonly at: number;
--- a/packages/history/src/SpendingLimit.ts
+++ b/packages/history/src/SpendingLimit.ts
@@ -1,7 +1,7 @@
-/** What an organisation may spend over all VMs together, as its release note declares it. */
+/** Limit on what an organisation spends over all VMs together, as its release note declares it. */
 export type SpendingLimit = {
     readonly organisation: string;
-    /** Tokens a second. */
+    /** Tokens per second. */
     readonly rate: number;
     readonly burst: number;
     /** Output tokens that each request asks for. */
--- a/packages/history/src/SpendingVerdict.ts
+++ b/packages/history/src/SpendingVerdict.ts
@@ -1,7 +1,8 @@
-/** The interval in which an organisation went furthest beyond what it may spend, or came closest to it. */
+/** The interval in which an organisation exceeded its limit most or, if it never did, came closest to it. */
 export type SpendingVerdict = {
-    /** Tokens over burst + rate · length; below zero when it kept to it. */
+    /** Tokens above burst + rate · length; negative if the limit was kept. */
     readonly over: number;
+    /** First and last run of the interval, in milliseconds since the epoch. */
     readonly from: number;
     readonly to: number;
     readonly tokens: number;
--- a/packages/history/src/index.ts
+++ b/packages/history/src/index.ts
@@ -1,4 +1,4 @@
-/** A checker of histories of concurrent runs. It shares no code with what it checks. */
+/** Checks histories of concurrent runs. It shares no code with the software that it checks. */
 export { judgeSpending } from "./judgeSpending.js";
 export type { ModelRun } from "./ModelRun.js";
 export { checkRequests } from "./requests/checkRequests.js";
--- a/packages/history/src/judgeSpending.ts
+++ b/packages/history/src/judgeSpending.ts
@@ -5,12 +5,11 @@
 const MS_PER_SECOND = 1_000;
 
 /**
- * Judges an organisation's spending over every interval that begins and ends with a run, straight from the definition:
- * tokens ≤ burst + rate · length. It knows nothing of how daemons count.
+ * Checks an organisation's spending over every interval that begins and ends with a run, directly by the definition:
+ * tokens ≤ burst + rate · length. It does not depend on how the daemons count.
  *
- * @param runs the histories of all engines, in any order
- * @param limit the organisation and what it may spend
- * @returns undefined when the organisation ran nothing
+ * @param runs histories of all engines, in any order
+ * @returns the worst interval; `undefined` if the organisation ran nothing
  */
 export function judgeSpending(runs: readonly ModelRun[], limit: SpendingLimit): SpendingVerdict | undefined {
     const spent = runs
@@ -19,11 +18,13 @@
         .sort((a, b) => a.at - b.at);
     const totals = spent.reduce<number[]>((sums, { tokens }) => [...sums, (sums.at(-1) ?? 0) + tokens], []);
     return spent.reduce<SpendingVerdict | undefined>((worst, first, i) => {
-        const before = (totals[i] ?? 0) - first.tokens;
-        return spent.slice(i).reduce<SpendingVerdict | undefined>((sofar, last, k) => {
-            const tokens = (totals[i + k] ?? 0) - before;
+        const spentBefore = (totals[i] ?? 0) - first.tokens;
+        return spent.slice(i).reduce<SpendingVerdict | undefined>((worstSoFar, last, k) => {
+            const tokens = (totals[i + k] ?? 0) - spentBefore;
             const over = tokens - limit.burst - limit.rate * (last.at - first.at) / MS_PER_SECOND;
-            return sofar !== undefined && sofar.over >= over ? sofar : { over, from: first.at, to: last.at, tokens };
+            return worstSoFar !== undefined && worstSoFar.over >= over
+                ? worstSoFar
+                : { over, from: first.at, to: last.at, tokens };
         }, worst);
     }, undefined);
 }
--- a/packages/history/src/requests/RequestEvent.ts
+++ b/packages/history/src/requests/RequestEvent.ts
@@ -1,43 +1,43 @@
-/** One stream as its caller read it. */
-type ReadStream = {
+/** One stream as its caller received it. */
+type ReceivedStream = {
     readonly kind: "stream";
     readonly id: string;
     readonly organisation: string;
-    /** Number of prompt tokens; unique in the history, so that engines' runs can be told apart. */
+    /** Unique in the history, so that each engine run can be matched to its stream. */
     readonly promptTokens: number;
-    /** Tokens asked for. */
+    /** Tokens requested. */
     readonly maxTokens: number;
     readonly status: number;
-    /** Positions in the order in which they came. */
+    /** Token positions in the order in which they arrived. */
     readonly positions: readonly number[];
     readonly text: string;
-    /** Whether the last piece was marked as the last. */
+    /** Whether the last event was marked as the last. */
     readonly finished: boolean;
-    /** `done`: `[DONE]`. `error`: an error event or an error status. `cut`: neither, or the connection broke. */
+    /** `done`: by `[DONE]`. `error`: by an error event or status. `cut`: without either, or by a broken connection. */
     readonly ended: "done" | "error" | "cut";
     readonly code: string | undefined;
     readonly ran: string | undefined;
-    /** Whether the caller's daemon was killed while it ran; then it may break off. */
+    /** Whether the caller's daemon was killed while the stream ran, so that it may end early. */
     readonly daemonKilled: boolean;
-    /** Whether its prompt crashes engines. */
+    /** Whether the prompt crashes engines. */
     readonly crashes: boolean;
 };
 
-/** One call to a plain service as its caller saw it. */
-type SeenCall = {
+/** One call to a plain service as its caller observed it. */
+type ObservedCall = {
     readonly kind: "call";
     readonly id: string;
     readonly organisation: string;
     readonly key: string | undefined;
     readonly path: string;
-    /** 0 when no answer came. */
+    /** 0 if no answer arrived. */
     readonly status: number;
     readonly code: string | undefined;
     readonly ran: string | undefined;
     readonly body: string;
 };
 
-/** One run at a plain service, from its own history. */
+/** One run of a call, from the plain service's own history. */
 type ServiceRun = {
     readonly kind: "service-run";
     readonly endpoint: string;
@@ -46,7 +46,7 @@
     readonly path: string;
 };
 
-/** One run at an engine, from its own history. */
+/** One run of a request, from the engine's own history. */
 type EngineRun = {
     readonly kind: "engine-run";
     readonly endpoint: string;
@@ -54,11 +54,11 @@
     readonly promptTokens: number;
 };
 
-/** The whole text of a prompt's answer, read without faults. */
+/** The complete answer to a prompt, received while no fault was injected. */
 type Reference = { readonly kind: "reference"; readonly promptTokens: number; readonly text: string; };
 
-/** An engine that died of a prompt. */
+/** The death of an engine that a prompt crashed. */
 type EngineCrash = { readonly kind: "engine-crash"; readonly endpoint: string; };
 
-/** One entry of a history of callers' requests. */
-export type RequestEvent = ReadStream | SeenCall | ServiceRun | EngineRun | Reference | EngineCrash;
+/** One entry of a history of requests: what callers received, what endpoints ran, and what was expected. */
+export type RequestEvent = ReceivedStream | ObservedCall | ServiceRun | EngineRun | Reference | EngineCrash;
--- a/packages/history/src/requests/Violation.ts
+++ b/packages/history/src/requests/Violation.ts
@@ -1,2 +1,2 @@
-/** Something in a history that must not be. */
+/** A rule that a history breaks, and where. */
 export type Violation = { readonly rule: string; readonly detail: string; };
--- a/packages/history/src/requests/checkRequests.ts
+++ b/packages/history/src/requests/checkRequests.ts
@@ -1,42 +1,44 @@
 import type { RequestEvent } from "./RequestEvent.js";
 import type { Violation } from "./Violation.js";
 
-/** Refusals that depend on an organisation's tokens alone, whatever engines do. */
+/** Refusals that depend only on an organisation's tokens, not on engines. */
 const ALLOWANCE_CODES: readonly (string | undefined)[] = ["over-rate", "allowance-unreachable"];
 
-type Of<Kind extends RequestEvent["kind"]> = Extract<RequestEvent, { readonly kind: Kind; }>;
+type EventOf<Kind extends RequestEvent["kind"]> = Extract<RequestEvent, { readonly kind: Kind; }>;
 
-/** Engines that a request may crash before it is stopped. */
+/** Engines that a request may crash before it is quarantined. */
 const MAX_CRASHES = 2;
 
-const pick = <Kind extends RequestEvent["kind"]>(history: readonly RequestEvent[], kind: Kind): readonly Of<Kind>[] =>
-    history.filter((event): event is Of<Kind> => event.kind === kind);
+const eventsOf = <Kind extends RequestEvent["kind"]>(
+    history: readonly RequestEvent[],
+    kind: Kind,
+): readonly EventOf<Kind>[] => history.filter((event): event is EventOf<Kind> => event.kind === kind);
 
-const checkOrder = (streams: readonly Of<"stream">[]): readonly Violation[] =>
+const checkPositions = (streams: readonly EventOf<"stream">[]): readonly Violation[] =>
     streams
         .filter(({ positions }) => positions.some((position, index) => position !== index))
         .map(({ id, positions }) => ({ rule: "stream in order", detail: `${id}: ${positions.join(",")}` }));
 
-const checkEnds = (streams: readonly Of<"stream">[]): readonly Violation[] =>
+const checkStreamEnds = (streams: readonly EventOf<"stream">[]): readonly Violation[] =>
     streams
         .filter(({ ended, finished, daemonKilled }) =>
             (ended === "cut" && !daemonKilled) || (ended === "done" && !finished)
         )
-        .map(({ id, ended }) => ({ rule: "stream whole or explicit error", detail: `${id}: ${ended}` }));
+        .map(({ id, ended }) => ({ rule: "stream complete or explicit error", detail: `${id}: ${ended}` }));
 
 const checkTexts = (
-    streams: readonly Of<"stream">[],
-    references: readonly Of<"reference">[],
+    streams: readonly EventOf<"stream">[],
+    references: readonly EventOf<"reference">[],
 ): readonly Violation[] =>
     streams.flatMap(({ id, promptTokens, text, ended }) => {
-        const whole = references.find(reference => reference.promptTokens === promptTokens)?.text;
-        const fits = whole === undefined || (ended === "done" ? text === whole : whole.startsWith(text));
-        return fits ? [] : [{ rule: "answer to its own request", detail: `${id}: ${text.slice(0, 80)}` }];
+        const fullText = references.find(reference => reference.promptTokens === promptTokens)?.text;
+        const matches = fullText === undefined || (ended === "done" ? text === fullText : fullText.startsWith(text));
+        return matches ? [] : [{ rule: "answer to its own request", detail: `${id}: ${text.slice(0, 80)}` }];
     });
 
 const checkNotRunStreams = (
-    streams: readonly Of<"stream">[],
-    runs: readonly Of<"engine-run">[],
+    streams: readonly EventOf<"stream">[],
+    runs: readonly EventOf<"engine-run">[],
 ): readonly Violation[] =>
     streams
         .filter(({ ran, promptTokens, crashes }) =>
@@ -45,8 +47,8 @@
         .map(({ id, code }) => ({ rule: "not run is true", detail: `${id}: ${code ?? ""}` }));
 
 const checkOrganisations = (
-    streams: readonly Of<"stream">[],
-    runs: readonly Of<"engine-run">[],
+    streams: readonly EventOf<"stream">[],
+    runs: readonly EventOf<"engine-run">[],
 ): readonly Violation[] =>
     runs.flatMap(run => {
         const stream = streams.find(({ promptTokens }) => promptTokens === run.promptTokens);
@@ -55,37 +57,37 @@
             : [{ rule: "runs for its key's organisation", detail: `${stream.id} at ${run.endpoint}` }];
     });
 
-const sameCall = (a: Of<"call"> | Of<"service-run">, b: Of<"service-run">): boolean =>
+const isSameCall = (a: EventOf<"call"> | EventOf<"service-run">, b: EventOf<"service-run">): boolean =>
     a.organisation === b.organisation && a.path === b.path && a.key === b.key;
 
-const checkOnce = (runs: readonly Of<"service-run">[]): readonly Violation[] =>
+const checkAtMostOnce = (runs: readonly EventOf<"service-run">[]): readonly Violation[] =>
     runs
-        .filter((run, index) => runs.findIndex(other => sameCall(run, other)) < index)
+        .filter((run, index) => runs.findIndex(other => isSameCall(run, other)) < index)
         .map(({ path, key, endpoint }) => ({ rule: "at most once", detail: `${path} ${key ?? ""} at ${endpoint}` }));
 
 const checkNotRunCalls = (
-    calls: readonly Of<"call">[],
-    runs: readonly Of<"service-run">[],
+    calls: readonly EventOf<"call">[],
+    runs: readonly EventOf<"service-run">[],
 ): readonly Violation[] =>
     calls
         .filter(call => {
             const same = calls.filter(other =>
                 other.key === call.key && other.path === call.path && other.organisation === call.organisation
             );
-            return same.every(({ ran }) => ran === "no") && runs.some(run => sameCall(call, run));
+            return same.every(({ ran }) => ran === "no") && runs.some(run => isSameCall(call, run));
         })
         .map(({ id, code }) => ({ rule: "not run is true", detail: `${id}: ${code ?? ""}` }));
 
-const checkAnswered = (
-    calls: readonly Of<"call">[],
-    runs: readonly Of<"service-run">[],
+const checkAnsweredCalls = (
+    calls: readonly EventOf<"call">[],
+    runs: readonly EventOf<"service-run">[],
 ): readonly Violation[] =>
     calls
         .filter(({ status }) => status === 200)
         .flatMap(call => {
             const same = calls.filter(other => other.key === call.key && other.path === call.path);
             const differs = same.some(({ status, body }) => status === 200 && body !== call.body);
-            const ran = runs.some(run => sameCall(call, run));
+            const ran = runs.some(run => isSameCall(call, run));
             return [
                 ...differs ? [{ rule: "a repeated call gets the same answer", detail: call.id }] : [],
                 ...ran ? [] : [{ rule: "an answered call ran", detail: call.id }],
@@ -93,37 +95,40 @@
         });
 
 const checkCrashes = (
-    streams: readonly Of<"stream">[],
-    crashes: readonly Of<"engine-crash">[],
+    streams: readonly EventOf<"stream">[],
+    crashes: readonly EventOf<"engine-crash">[],
 ): readonly Violation[] => {
-    const innocent = streams.filter(({ ended, crashes: isGuilty, code }) =>
-        !isGuilty && ended === "error" && !ALLOWANCE_CODES.includes(code)
+    const failedUnrelated = streams.filter(({ ended, crashes: isCause, code }) =>
+        !isCause && ended === "error" && !ALLOWANCE_CODES.includes(code)
     );
     return [
         ...crashes.length > MAX_CRASHES
-            ? [{ rule: "stopped after the second death", detail: `${crashes.length} engines` }]
+            ? [{ rule: "quarantined after the second death", detail: `${crashes.length} engines` }]
             : [],
         ...crashes.length === 0
             ? []
-            : innocent.map(({ id, code }) => ({ rule: "innocents are served", detail: `${id}: ${code ?? ""}` })),
+            : failedUnrelated.map(({ id, code }) => ({
+                rule: "unrelated requests are served",
+                detail: `${id}: ${code ?? ""}`,
+            })),
     ];
 };
 
-/** Judges a history of callers' requests beside what the endpoints themselves say that they ran. */
+/** Compares what callers received with what the endpoints' own histories say they ran. */
 export function checkRequests(history: readonly RequestEvent[]): readonly Violation[] {
-    const streams = pick(history, "stream");
-    const calls = pick(history, "call");
-    const serviceRuns = pick(history, "service-run");
-    const engineRuns = pick(history, "engine-run");
+    const streams = eventsOf(history, "stream");
+    const calls = eventsOf(history, "call");
+    const serviceRuns = eventsOf(history, "service-run");
+    const engineRuns = eventsOf(history, "engine-run");
     return [
-        ...checkOrder(streams),
-        ...checkEnds(streams),
-        ...checkTexts(streams, pick(history, "reference")),
+        ...checkPositions(streams),
+        ...checkStreamEnds(streams),
+        ...checkTexts(streams, eventsOf(history, "reference")),
         ...checkNotRunStreams(streams, engineRuns),
         ...checkOrganisations(streams, engineRuns),
-        ...checkOnce(serviceRuns),
+        ...checkAtMostOnce(serviceRuns),
         ...checkNotRunCalls(calls, serviceRuns),
-        ...checkAnswered(calls, serviceRuns),
-        ...checkCrashes(streams, pick(history, "engine-crash")),
+        ...checkAnsweredCalls(calls, serviceRuns),
+        ...checkCrashes(streams, eventsOf(history, "engine-crash")),
     ];
 }
--- a/packages/standins/src/__tests__/manualClock.ts
+++ b/packages/standins/src/__tests__/manualClock.ts
@@ -1,14 +1,14 @@
 import type { Clock } from "../common/Clock.js";
 
-type Timer = { readonly at: number; readonly order: number; readonly act: () => void; };
+type Timer = { readonly at: number; readonly order: number; readonly callback: () => void; };
 
-/** A clock that stands still until it is told to go on. */
+/** A clock that moves only when it is advanced. */
 type ManualClock = Clock & { readonly advance: (ms: number) => void; };
 
-/** Creates a clock at 0. Timers that are due act in order, each at its own time. */
+/** Creates a clock at 0. Timers fire in order of time while it is advanced; each sees the time for which it was set. */
 export function manualClock(): ManualClock {
     let now = 0;
-    let count = 0;
+    let createdTimers = 0;
     let timers: readonly Timer[] = [];
 
     const fireUntil = (end: number): void => {
@@ -19,14 +19,14 @@
         }
         timers = timers.filter(timer => timer !== next);
         now = Math.max(now, next.at);
-        next.act();
+        next.callback();
         fireUntil(end);
     };
     return {
         now: () => now,
-        after: (ms, act) => {
-            count += 1;
-            const timer = { at: now + ms, order: count, act };
+        after: (ms, callback) => {
+            createdTimers += 1;
+            const timer = { at: now + ms, order: createdTimers, callback };
             timers = [...timers, timer];
             return () => {
                 timers = timers.filter(other => other !== timer);
--- a/packages/standins/src/__tests__/unit/answers.test.ts
+++ b/packages/standins/src/__tests__/unit/answers.test.ts
@@ -28,14 +28,14 @@
 
 const REST = { model: "advisor", stream: false, cache_salt: "", priority: 5, resume_from: 0 };
 [
-    { name: "a plain prompt", body: { ...REST, prompt: "text" }, prompt: "text" },
+    { name: "a plain prompt is used as it is", body: { ...REST, prompt: "text" }, prompt: "text" },
     {
-        name: "a chat",
+        name: "a chat is rendered with its roles",
         body: { ...REST, messages: [{ role: "system", content: "s" }, { role: "user", content: "u" }] },
         prompt: "<system>\ns\n<user>\nu\n",
     },
     {
-        name: "a chat in parts",
+        name: "the text parts of a message are joined",
         body: { ...REST, messages: [{ role: "user", content: [{ text: "a" }, { text: "b" }] }] },
         prompt: "<user>\nab\n",
     },
--- a/packages/standins/src/__tests__/unit/batch.test.ts
+++ b/packages/standins/src/__tests__/unit/batch.test.ts
@@ -30,13 +30,13 @@
         admitted: ["first"],
     },
     {
-        name: "among equals the earlier one goes first",
+        name: "among equal priorities the earlier request goes first",
         waiting: [sequence("second", { order: 2 }), sequence("first", { order: 1 })],
         running: [],
         admitted: ["first"],
     },
     {
-        name: "a full batch takes none",
+        name: "a full batch admits none",
         waiting: [sequence("waits")],
         running: [sequence("runs")],
         admitted: [],
@@ -52,8 +52,13 @@
 [
     { name: "nothing cached", cached: [], promptTokens: 10, tokens: 0 },
     { name: "one piece cached", cached: ["p1"], promptTokens: 10, tokens: 4 },
-    { name: "all pieces cached, with a rest", cached: ["p1", "p2"], promptTokens: 10, tokens: 8 },
-    { name: "the last token is computed even when all is cached", cached: ["p1", "p2"], promptTokens: 8, tokens: 7 },
+    { name: "all pieces cached, with an incomplete last piece", cached: ["p1", "p2"], promptTokens: 10, tokens: 8 },
+    {
+        name: "the last token is computed even if the whole prompt is cached",
+        cached: ["p1", "p2"],
+        promptTokens: 8,
+        tokens: 7,
+    },
 ].forEach(({ name, cached, promptTokens, tokens }) =>
     test(`batch cache: ${name}`, t => {
         const cache = new Map(cached.map(piece => [piece, 0]));
@@ -64,9 +69,9 @@
 );
 
 [
-    { name: "an empty batch costs nothing", running: [], prefill: [], decode: [], durationMs: 0 },
+    { name: "an empty batch takes no time", running: [], prefill: [], decode: [], durationMs: 0 },
     {
-        name: "a prompt costs by its uncached tokens, up to the chunk",
+        name: "a prompt takes time by its uncached tokens, up to the chunk",
         running: [sequence("s")],
         prefill: [["s", 8]],
         decode: [],
@@ -97,7 +102,7 @@
 
 [
     {
-        name: "a part of a prompt gives no token",
+        name: "a step that does not complete the prompt generates no token",
         before: sequence("s"),
         plan: { prefill: new Map([["s", 8]]), decode: new Set<string>(), durationMs: 8 },
         generated: [],
@@ -105,7 +110,7 @@
         left: 1,
     },
     {
-        name: "the end of a prompt gives the first token",
+        name: "the step that completes the prompt generates the first token",
         before: sequence("s", { computedTokens: 8 }),
         plan: { prefill: new Map([["s", 2]]), decode: new Set<string>(), durationMs: 2 },
         generated: [{ id: "s", position: 0, last: false }],
@@ -113,7 +118,7 @@
         left: 1,
     },
     {
-        name: "a resumed answer goes on from its position",
+        name: "a resumed answer continues from its position",
         before: sequence("s", { computedTokens: 10, position: 1 }),
         plan: { prefill: new Map<string, number>(), decode: new Set(["s"]), durationMs: 10 },
         generated: [{ id: "s", position: 1, last: false }],
@@ -129,7 +134,7 @@
         left: 0,
     },
     {
-        name: "a request that joined after the plan is left alone",
+        name: "a request that joined after the plan was made is unchanged",
         before: sequence("s", { computedTokens: 10 }),
         plan: { prefill: new Map<string, number>(), decode: new Set(["cancelled"]), durationMs: 10 },
         generated: [],
--- a/packages/standins/src/__tests__/unit/events.test.ts
+++ b/packages/standins/src/__tests__/unit/events.test.ts
@@ -15,7 +15,7 @@
     return { clock, events, seen, end, faults };
 };
 
-test("events: they come late and in order", t => {
+test("events: delayed events arrive late and in order", t => {
     const { clock, events, seen } = start(LAG_MS, 0);
     events.publish("stored", ["a"]);
     events.publish("removed", ["a"]);
@@ -25,7 +25,7 @@
     t.deepEqual(seen, [1, 2]);
 });
 
-test("events: a shorter lag does not let one overtake another", t => {
+test("events: an event does not overtake another when the lag gets shorter", t => {
     const { clock, events, seen, faults } = start(LAG_MS, 0);
     events.publish("stored", ["a"]);
     faults.eventLagMs = 0;
@@ -34,7 +34,7 @@
     t.deepEqual(seen, [1, 2]);
 });
 
-test("events: lost ones leave gaps, the same for the same seed", t => {
+test("events: lost events leave gaps in the numbers, the same ones for the same seed", t => {
     const lossy = () => {
         const { clock, events, seen } = start(0, 0.5, seededRandom(7));
         Array.from({ length: 20 }).forEach(() => events.publish("stored", ["a"]));
@@ -47,7 +47,7 @@
     t.deepEqual(lossy(), first);
 });
 
-test("events: a new subscriber gets what came after its number, and nothing after its end", t => {
+test("events: a subscriber gets the events after its number, and none after it has unsubscribed", t => {
     const { clock, events } = start(0, 0);
     events.publish("stored", ["a"]);
     events.publish("stored", ["b"]);
--- a/packages/standins/src/__tests__/unit/pieceCache.test.ts
+++ b/packages/standins/src/__tests__/unit/pieceCache.test.ts
@@ -11,11 +11,16 @@
 const cacheOf = (...pieces: readonly string[]): PieceCache => new Map(pieces.map((piece, i) => [piece, i]));
 
 [
-    { name: "an empty prompt", cache: cacheOf("a"), pieces: [], cached: 0 },
-    { name: "the whole chain", cache: cacheOf("a", "b"), pieces: ["a", "b"], cached: 2 },
-    { name: "a prefix", cache: cacheOf("a", "b"), pieces: ["a", "b", "c"], cached: 2 },
-    { name: "a piece behind a gap does not count", cache: cacheOf("a", "c"), pieces: ["a", "b", "c"], cached: 1 },
-    { name: "nothing without the first", cache: cacheOf("b"), pieces: ["a", "b"], cached: 0 },
+    { name: "an empty prompt has no cached pieces", cache: cacheOf("a"), pieces: [], cached: 0 },
+    { name: "all pieces of a cached chain count", cache: cacheOf("a", "b"), pieces: ["a", "b"], cached: 2 },
+    { name: "a cached prefix counts", cache: cacheOf("a", "b"), pieces: ["a", "b", "c"], cached: 2 },
+    {
+        name: "a piece after a missing one does not count",
+        cache: cacheOf("a", "c"),
+        pieces: ["a", "b", "c"],
+        cached: 1,
+    },
+    { name: "nothing counts without the first piece", cache: cacheOf("b"), pieces: ["a", "b"], cached: 0 },
 ].forEach(({ name, cache, pieces, cached }) =>
     test(`cache lookup: ${name}`, t => {
         t.is(countCached(cache, pieces), cached);
@@ -24,7 +29,7 @@
 
 [
     {
-        name: "room for all",
+        name: "with room for all, nothing is evicted",
         cache: cacheOf("x"),
         chain: ["a", "b"],
         maxPieces: 3,
@@ -33,7 +38,7 @@
         left: ["x", "b", "a"],
     },
     {
-        name: "the least recently used one goes",
+        name: "the least recently used piece is evicted",
         cache: cacheOf("x", "y"),
         chain: ["a"],
         maxPieces: 2,
@@ -42,7 +47,7 @@
         left: ["y", "a"],
     },
     {
-        name: "pieces that are there are used again and not told twice",
+        name: "pieces already cached are marked as used and not reported again",
         cache: cacheOf("a", "x"),
         chain: ["a", "b"],
         maxPieces: 2,
@@ -51,7 +56,7 @@
         left: ["b", "a"],
     },
     {
-        name: "a chain beyond the bound loses its end",
+        name: "a chain longer than the limit loses its end",
         cache: cacheOf(),
         chain: ["a", "b", "c"],
         maxPieces: 2,
@@ -60,7 +65,7 @@
         left: ["b", "a"],
     },
     {
-        name: "no room at all",
+        name: "without any room, nothing is stored",
         cache: cacheOf(),
         chain: ["a"],
         maxPieces: 0,
@@ -83,9 +88,9 @@
 });
 
 [
-    { name: "an unused piece goes", idleMs: 10, removed: ["a", "b"] },
-    { name: "a piece used within the bound stays", idleMs: 99, removed: ["a"] },
-    { name: "nothing goes before its time", idleMs: 100, removed: [] },
+    { name: "pieces unused for longer than the limit are dropped", idleMs: 10, removed: ["a", "b"] },
+    { name: "a piece used within the limit stays", idleMs: 99, removed: ["a"] },
+    { name: "pieces unused for exactly the limit stay", idleMs: 100, removed: [] },
 ].forEach(({ name, idleMs, removed }) =>
     test(`cache expiry: ${name}`, t => {
         const change = expirePieces(cacheOf("a", "b"), idleMs, NOW);
--- a/packages/standins/src/__tests__/unit/processes.test.ts
+++ b/packages/standins/src/__tests__/unit/processes.test.ts
@@ -16,7 +16,7 @@
 
 type HistoryLine = { readonly kind: string; readonly dispatchId?: string; };
 
-/** Starts a stand-in and waits for its ready line; the test kills it by its id when it ends. */
+/** Starts a stand-in and waits for its ready line; the process is killed when the test ends. */
 const start = async (
     t: { readonly teardown: (end: () => void) => void; },
     ...args: readonly string[]
@@ -35,8 +35,8 @@
 const ENGINE = ["engine", "--prefill-us-per-token", "0", "--decode-ms-per-token", "0", "--piece-tokens", "4"];
 const PROMPT = "a prompt that is longer than one piece of four tokens";
 
-test("engine process: a stream cut after some tokens goes on elsewhere without a seam", async t => {
-    // A stream that is resumed at another engine differs from the whole one.
+test("engine process: a stream cut after some tokens can be resumed at another engine without a gap", async t => {
+    // If engines generated different tokens, a stream resumed at another one would differ from the uninterrupted one.
     const one = await start(t, ...ENGINE, "--name", "one");
     const two = await start(t, ...ENGINE, "--name", "two");
     await post(`${one.url}/control`, { cutStreams: 1, cutAfterTokens: 2 });
@@ -62,8 +62,8 @@
     t.deepEqual([...texts(parts.join("")), ...texts(rest)], texts(whole));
 });
 
-test("engine process: the request that crashes it stands in its history", async t => {
-    // A request that ends its engine is not in the engine's history.
+test("engine process: its history contains the request that crashes it", async t => {
+    // If entries were written after the answer, a request that ends its engine would be missing in its history.
     const folder = mkdtempSync(join(tmpdir(), "standin-"));
     t.teardown(() => rmSync(folder, { recursive: true }));
     const file = join(folder, "history.jsonl");
@@ -78,7 +78,7 @@
     t.deepEqual(entries.filter(({ kind }) => kind === "run").map(({ dispatchId }) => dispatchId), ["fine", "poison"]);
 });
 
-test("engine process: weights that it does not hold are refused before they run", async t => {
+test("engine process: a request for weights that it does not hold is refused before it runs", async t => {
     const { url } = await start(t, ...ENGINE);
     const body = { model: "advisor", prompt: PROMPT };
     const refused = await post(`${url}/v1/completions`, body, { "x-weights-version": "v9" });
@@ -87,7 +87,7 @@
     t.deepEqual(await json(`${url}/runs`), { runs: [] });
 });
 
-test("platform process: an append whose answer is lost has taken effect", async t => {
+test("platform process: an append whose answer is lost still takes effect", async t => {
     const { url } = await start(t, "platform");
     await post(`${url}/control`, { loseAnswers: 1 });
     await t.throwsAsync(post(`${url}/log/configuration`, { records: [{ id: "a" }] }));
@@ -95,7 +95,7 @@
     t.is(page.end, 1);
 });
 
-test("platform process: an offset that is no longer kept answers 410 with the bounds", async t => {
+test("platform process: a read from an offset no longer kept is answered with 410 and the log's bounds", async t => {
     const { url } = await start(t, "platform", "--retain-count", "1");
     await post(`${url}/log/s`, { records: [{ id: "a" }, { id: "b" }] });
     const gone = await fetch(`${url}/log/s?from=0`);
@@ -103,7 +103,7 @@
     t.like(await gone.json(), { start: 1, end: 2 });
 });
 
-test("platform process: while it is down nothing takes effect, and it comes back whole", async t => {
+test("platform process: no append takes effect while it is down, and it works again afterwards", async t => {
     const { url } = await start(t, "platform");
     await post(`${url}/control`, { down: true });
     await t.throwsAsync(post(`${url}/log/s`, { records: [{ id: "a" }] }));
@@ -119,7 +119,7 @@
     t.deepEqual(runs.map(({ idempotencyKey }) => idempotencyKey), ["k"]);
 });
 
-test("link process: a cut ends what passes, and mending lets it pass again", async t => {
+test("link process: a cut breaks connections, and undoing it lets new ones work", async t => {
     const service = await start(t, "service");
     const link = await start(t, "link", "--route", `a=${new URL(service.url).host}`);
     const through = `http://${link.routes?.["a"]}/health`;
@@ -130,8 +130,8 @@
     t.is((await fetch(through)).status, 200);
 });
 
-test("link process: open connections fall silent, new ones work", async t => {
-    // A connection that goes silent for good cannot be told from a slow one.
+test("link process: open connections become silent, new ones work", async t => {
+    // The caller cannot distinguish a permanently silent connection from a slow one: it gets no data, end or close.
     const service = await start(t, "service");
     const link = await start(t, "link", "--route", `a=${new URL(service.url).host}`);
     const through = new URL(`http://${link.routes?.["a"]}`);
@@ -139,24 +139,24 @@
     t.teardown(() => void old.destroy());
     old.write("GET /health HTTP/1.1\r\nhost: a\r\n\r\n");
     await once(old, "data");
-    const heard: string[] = [];
-    ["data", "end", "close"].forEach(event => old.on(event, () => heard.push(event)));
+    const received: string[] = [];
+    ["data", "end", "close"].forEach(event => old.on(event, () => received.push(event)));
     await post(`${link.url}/control`, { silent: true });
     old.write("GET /health HTTP/1.1\r\nhost: a\r\n\r\n");
     t.is((await fetch(`${through.origin}/health`)).status, 200);
     service.child.kill("SIGKILL");
     await once(service.child, "exit");
-    t.deepEqual(heard, []);
+    t.deepEqual(received, []);
 });
 
-test("cache process: pieces come back as they went in", async t => {
+test("cache process: pieces are returned as they were stored", async t => {
     const { url } = await start(t, "cache");
     await fetch(`${url}/v1/kv/abc`, { method: "PUT", body: "bytes" });
     t.is(await (await fetch(`${url}/v1/kv/abc`)).text(), "bytes");
     t.deepEqual(await (await post(`${url}/v1/kv/lookup`, { hashes: ["abc", "d"] })).json(), { have: ["abc"] });
 });
 
-test("engine process: KV cache of another engine is imported up to the first missing piece", async t => {
+test("engine process: imports KV cache of another engine up to the first missing piece", async t => {
     const one = await start(t, ...ENGINE, "--name", "one");
     const two = await start(t, ...ENGINE, "--name", "two");
     await post(`${one.url}/v1/completions`, { model: "advisor", prompt: PROMPT, max_tokens: 1 });
--- a/packages/standins/src/__tests__/unit/scheduler.test.ts
+++ b/packages/standins/src/__tests__/unit/scheduler.test.ts
@@ -9,11 +9,11 @@
 const MAX_PIECES = 10;
 
 type Reported = { readonly running: number; readonly waiting: number; };
-type Told = { readonly id: string; readonly at: number; readonly what: string; };
+type Progress = { readonly id: string; readonly at: number; readonly what: string; };
 
 const start = (frozen: () => boolean = () => false) => {
     const clock = manualClock();
-    const told: Told[] = [];
+    const progress: Progress[] = [];
     const reported: Reported[] = [];
     let cache: PieceCache = new Map();
     const scheduler = createScheduler({
@@ -23,20 +23,20 @@
         frozen,
         cache: {
             current: () => cache,
-            touched: next => {
+            replace: next => {
                 cache = next;
             },
             store: chain => {
                 cache = storePieces(cache, chain, MAX_PIECES, clock.now()).cache;
             },
         },
-        scheduled: ({ running, waiting }) => reported.push({ running: running.length, waiting: waiting.length }),
+        onScheduled: ({ running, waiting }) => reported.push({ running: running.length, waiting: waiting.length }),
     });
     const submit = (id: string, promptTokens: number, answerTokens: number) =>
         scheduler.submit({
             id,
             priority: 5,
-            order: told.length,
+            order: progress.length,
             pieces: ["p1"],
             pieceTokens: 20,
             promptTokens,
@@ -45,17 +45,18 @@
             position: 0,
             endPosition: answerTokens,
         }, {
-            started: ({ cachedTokens }) => told.push({ id, at: clock.now(), what: `started ${cachedTokens}` }),
-            token: (position, last) => told.push({ id, at: clock.now(), what: `${position}${last ? " last" : ""}` }),
+            started: ({ cachedTokens }) => progress.push({ id, at: clock.now(), what: `started ${cachedTokens}` }),
+            token: (position, last) =>
+                progress.push({ id, at: clock.now(), what: `${position}${last ? " last" : ""}` }),
         });
-    return { clock, told, reported, submit, scheduler };
+    return { clock, progress, reported, submit, scheduler };
 };
 
-test("scheduler: prompt, tokens, end", t => {
-    const { clock, told, submit, scheduler } = start();
+test("scheduler: computes the prompt, generates the tokens and ends the request", t => {
+    const { clock, progress, submit, scheduler } = start();
     submit("a", 30, 2);
     clock.advance(100);
-    t.deepEqual(told, [
+    t.deepEqual(progress, [
         { id: "a", at: 0, what: "started 0" },
         { id: "a", at: 30, what: "0" },
         { id: "a", at: 40, what: "1 last" },
@@ -63,13 +64,13 @@
     t.is(scheduler.batch().running.length, 0);
 });
 
-test("scheduler: the second request finds the first one's prefix and joins its batch", t => {
-    const { clock, told, submit } = start();
+test("scheduler: a second request finds the first one's prefix in the cache and joins its batch", t => {
+    const { clock, progress, submit } = start();
     submit("a", 30, 3);
     clock.advance(30);
     submit("b", 30, 1);
     clock.advance(100);
-    t.deepEqual(told.slice(2), [
+    t.deepEqual(progress.slice(2), [
         { id: "a", at: 40, what: "1" },
         { id: "b", at: 40, what: "started 20" },
         { id: "a", at: 60, what: "2 last" },
@@ -77,33 +78,33 @@
     ]);
 });
 
-test("scheduler: a cancelled request gives its place to the next one and hears nothing more", t => {
-    const { clock, told, submit } = start();
+test("scheduler: a cancelled request frees its place for the next one and gets no further callbacks", t => {
+    const { clock, progress, submit } = start();
     const cancel = submit("a", 30, 100);
     submit("b", 30, 100);
     submit("c", 30, 1);
     clock.advance(35);
     cancel();
-    const heard = told.filter(({ id }) => id === "a").length;
+    const received = progress.filter(({ id }) => id === "a").length;
     clock.advance(200);
-    t.is(told.filter(({ id }) => id === "a").length, heard);
-    t.true(told.some(({ id, what }) => id === "c" && what === "0 last"));
+    t.is(progress.filter(({ id }) => id === "a").length, received);
+    t.true(progress.some(({ id, what }) => id === "c" && what === "0 last"));
 });
 
-test("scheduler: a frozen engine goes on where it stopped", t => {
+test("scheduler: a frozen engine continues where it stopped", t => {
     const state = { frozen: true };
-    const { clock, told, submit, scheduler } = start(() => state.frozen);
+    const { clock, progress, submit, scheduler } = start(() => state.frozen);
     submit("a", 30, 1);
     clock.advance(1_000);
-    t.deepEqual(told, []);
+    t.deepEqual(progress, []);
     state.frozen = false;
     scheduler.resume();
     clock.advance(1_000);
-    t.deepEqual(told.map(({ what }) => what), ["started 0", "0 last"]);
+    t.deepEqual(progress.map(({ what }) => what), ["started 0", "0 last"]);
 });
 
 test("scheduler: only requests that did not fit are reported as waiting", t => {
-    // A request that waits for one step looks like one that did not fit, and the engine passes for full.
+    // If a request that only waits for the current step to end were reported as waiting, the engine would seem full.
     const { clock, reported, submit } = start();
     submit("a", 30, 2);
     clock.advance(10);
--- a/packages/standins/src/cache/CacheUse.ts
+++ b/packages/standins/src/cache/CacheAccess.ts
@@ -1,5 +1,5 @@
-/** One piece that was put into the KV cache store or asked of it. */
-export type CacheUse = {
+/** One read or write of a piece in the KV cache store. */
+export type CacheAccess = {
     readonly action: "get" | "put";
     readonly hash: string;
     readonly found: boolean;
--- a/packages/standins/src/cache/CacheSwitches.ts
+++ b/packages/standins/src/cache/CacheSwitches.ts
@@ -2,9 +2,9 @@
 
 /** Switches of the KV cache store. */
 const CacheSwitches = z.strictObject({
-    /** Connections of calls are destroyed. */
+    /** The connection of every call is destroyed without an answer. */
     down: z.boolean().default(false),
-    /** Milliseconds that each call takes. */
+    /** Delay before each call is handled. */
     latencyMs: z.number().min(0).default(0),
 });
 type CacheSwitches = z.infer<typeof CacheSwitches>;
--- a/packages/standins/src/cache/startCache.ts
+++ b/packages/standins/src/cache/startCache.ts
@@ -12,9 +12,9 @@
 import { serve } from "../common/serve.js";
 import { sleep } from "../common/sleep.js";
 import { systemClock } from "../common/systemClock.js";
+import type { CacheAccess } from "./CacheAccess.js";
 import type { CacheFlags } from "./CacheFlags.js";
 import { CacheSwitches } from "./CacheSwitches.js";
-import type { CacheUse } from "./CacheUse.js";
 
 const LookupBody = z.object({ hashes: z.array(z.string()) });
 const PIECE_PATH = /^\/v1\/kv\/([^/]+)$/;
@@ -28,10 +28,10 @@
     const clock = systemClock;
     const switches = createSwitches(CacheSwitches);
     switches.update({ latencyMs: flags.latencyMs });
-    const history = openHistory<CacheUse>(flags.history);
+    const history = openHistory<CacheAccess>(flags.history);
     const pieces = new LRUCache<string, Buffer>({ max: flags.maxPieces });
 
-    const guard = (route: Route): Route => ({
+    const injectFaults = (route: Route): Route => ({
         ...route,
         handle: async request => {
             const { down, latencyMs } = switches.current();
@@ -74,5 +74,5 @@
         pattern: /^\/runs$/,
         handle: ({ res }) => sendJson(res, 200, { runs: history.entries() }),
     };
-    return serve({ ...flags, switches, routes: [runs, ...routes.map(guard)] });
+    return serve({ ...flags, switches, routes: [runs, ...routes.map(injectFaults)] });
 }
--- a/packages/standins/src/common/Clock.ts
+++ b/packages/standins/src/common/Clock.ts
@@ -1,7 +1,7 @@
-/** Time as a stand-in sees it, passed in so that tests set it. */
+/** Clock and timers of a stand-in; tests pass in their own. */
 export type Clock = {
     /** Milliseconds since the epoch. */
     readonly now: () => number;
-    /** Calls a function after some milliseconds; returns the function that cancels it. */
-    readonly after: (ms: number, act: () => void) => () => void;
+    /** Calls a function after a delay; returns the function that cancels the call. */
+    readonly after: (ms: number, callback: () => void) => () => void;
 };
--- a/packages/standins/src/common/CommonFlags.ts
+++ b/packages/standins/src/common/CommonFlags.ts
@@ -2,7 +2,7 @@
 
 const DEFAULT_SEED = 1;
 
-/** Flags that every stand-in knows. */
+/** Flags that every stand-in accepts. */
 const CommonFlags = z.object({
     host: z.string().default("127.0.0.1"),
     port: z.coerce.number().int().min(0).max(65_535).default(0),
--- a/packages/standins/src/common/History.ts
+++ b/packages/standins/src/common/History.ts
@@ -1,6 +1,6 @@
-/** Everything that a stand-in ran, in order. */
+/** Record of everything that a stand-in ran, in order. */
 export type History<Entry> = {
-    /** Remembers an entry; it is in the file, where there is one, when the call returns. */
+    /** Appends an entry. If there is a history file, the entry has been written to it when the call returns. */
     readonly add: (entry: Entry) => void;
     readonly entries: () => readonly Entry[];
 };
--- a/packages/standins/src/common/HttpError.ts
+++ b/packages/standins/src/common/HttpError.ts
@@ -1,4 +1,4 @@
-/** Ends a request with a status and a JSON error; thrown by handlers. */
+/** Thrown by a route's handler to answer with a status and a JSON error. */
 export class HttpError extends Error {
     constructor(
         readonly status: number,
--- a/packages/standins/src/common/Route.ts
+++ b/packages/standins/src/common/Route.ts
@@ -1,8 +1,8 @@
 import type { HttpRequest } from "./HttpRequest.js";
 
-/** What answers requests of one method and path. */
+/** Handler of the requests with one method and one pattern of paths. */
 export type Route = {
-    /** Undefined takes every method. */
+    /** `undefined` matches every method. */
     readonly method: string | undefined;
     readonly pattern: RegExp;
     readonly handle: (request: HttpRequest) => Promise<void> | void;
--- a/packages/standins/src/common/Sample.ts
+++ b/packages/standins/src/common/Sample.ts
@@ -1,4 +1,4 @@
-/** A value as it was at a moment. */
+/** A value and the time since which it holds. */
 export type Sample<T> = {
     readonly at: number;
     readonly value: T;
--- a/packages/standins/src/common/createSwitches.ts
+++ b/packages/standins/src/common/createSwitches.ts
@@ -8,12 +8,12 @@
 /**
  * Creates the switches of a stand-in.
  *
- * @param schema strict object in which each switch has a default
- * @param onChange called after each change, with the values before it too
+ * @param schema strict object in which each switch has a default value
+ * @param onChange called after each change, with the new and the previous values
  */
 export function createSwitches<Shape extends z.ZodRawShape>(
     schema: z.ZodObject<Shape, "strict">,
-    onChange: (next: Values<Shape>, before: Values<Shape>) => void = () => undefined,
+    onChange: (next: Values<Shape>, previous: Values<Shape>) => void = () => undefined,
 ): Switches<Values<Shape>> {
     let current = schema.parse({});
     const update = (changes: unknown): void => {
--- a/packages/standins/src/common/header.ts
+++ b/packages/standins/src/common/header.ts
@@ -1,6 +1,6 @@
 import type { IncomingMessage } from "node:http";
 
-/** The value of a request's header; undefined when it is not there. */
+/** Returns the value of a request's header, its first one if there are several; `undefined` if it is missing. */
 export function header(req: IncomingMessage, name: string): string | undefined {
     const value = req.headers[name];
     return Array.isArray(value) ? value[0] : value;
--- a/packages/standins/src/common/kvBytes.ts
+++ b/packages/standins/src/common/kvBytes.ts
@@ -1,4 +1,4 @@
-/** The bytes that stand for the KV cache of a piece: its hash, over and over. */
+/** Returns the bytes that represent the KV cache of a piece: its hash, repeated. */
 export function kvBytes(hash: string, length: number): Buffer {
     return Buffer.alloc(length, `${hash} `);
 }
--- a/packages/standins/src/common/openHistory.ts
+++ b/packages/standins/src/common/openHistory.ts
@@ -3,8 +3,8 @@
 import type { History } from "./History.js";
 
 /**
- * Opens a history that is kept in memory, and in a file of JSON lines as well where one is given. Each line is handed to
- * the operating system before the answer leaves, so a history survives the death of its process by any signal.
+ * Opens a history in memory and, if a file is given, also in that file as JSON lines. Each line is passed to the
+ * operating system before the answer is sent, so the history survives the death of its process by any signal.
  */
 export function openHistory<Entry>(file: string | undefined): History<Entry> {
     const entries: Entry[] = [];
--- a/packages/standins/src/common/readBody.ts
+++ b/packages/standins/src/common/readBody.ts
@@ -1,6 +1,6 @@
 import type { IncomingMessage } from "node:http";
 
-/** Reads a request's whole body. Rejects when the connection breaks before its end. */
+/** Reads a request's complete body. Rejects if the connection breaks before its end. */
 export async function readBody(req: IncomingMessage): Promise<Buffer> {
     const chunks: Buffer[] = [];
     for await (const chunk of req) {
--- a/packages/standins/src/common/readJson.ts
+++ b/packages/standins/src/common/readJson.ts
@@ -15,9 +15,9 @@
 };
 
 /**
- * Reads a request's body as JSON of a given shape.
+ * Reads a request's body as JSON that matches a schema.
  *
- * @throws HttpError 400 that names the field, when the body has another shape
+ * @throws HttpError 400 if the body is not JSON or does not match the schema; the message names the fields
  */
 export async function readJson<T>(
     req: IncomingMessage,
--- a/packages/standins/src/common/sendJson.ts
+++ b/packages/standins/src/common/sendJson.ts
@@ -1,6 +1,6 @@
 import type { ServerResponse } from "node:http";
 
-/** Answers with JSON. */
+/** Sends a complete answer with a JSON body. */
 export function sendJson(
     res: ServerResponse,
     status: number,
--- a/packages/standins/src/common/serve.ts
+++ b/packages/standins/src/common/serve.ts
@@ -5,22 +5,22 @@
 import { z } from "zod";
 
 import { HttpError } from "./HttpError.js";
-import { muteSocket } from "./muteSocket.js";
 import { readJson } from "./readJson.js";
 import type { Route } from "./Route.js";
 import { sendJson } from "./sendJson.js";
+import { silenceSocket } from "./silenceSocket.js";
 import type { Switches } from "./Switches.js";
 
 const KEEP_ALIVE_MS = 120_000;
 
-/** What a stand-in serves, and where. */
-type Service = {
+/** What a stand-in serves, and on which address. */
+type ServerOptions = {
     readonly host: string;
-    /** 0 takes any free port. */
+    /** 0 chooses a free port. */
     readonly port: number;
     readonly routes: readonly Route[];
     readonly switches: Switches<object>;
-    /** What the switch `silent` does instead of silencing the connections of this server. */
+    /** Called by the switch `silent`, instead of silencing the connections of this server. */
     readonly silence?: () => void;
 };
 
@@ -44,7 +44,7 @@
                 silence();
             }
             if (silent === true && silence === undefined) {
-                [...sockets].filter(socket => socket !== req.socket).forEach(muteSocket);
+                [...sockets].filter(socket => socket !== req.socket).forEach(silenceSocket);
             }
             if (exit === true) {
                 res.on("finish", () => process.exit(0));
@@ -54,7 +54,7 @@
     },
 ];
 
-const answerError = (res: ServerResponse, err: unknown): void => {
+const sendError = (res: ServerResponse, err: unknown): void => {
     if (res.headersSent || res.destroyed) {
         res.destroy();
         return;
@@ -66,7 +66,7 @@
     sendJson(res, 500, { error: { message: String(err) } });
 };
 
-const answer = async (routes: readonly Route[], req: IncomingMessage, res: ServerResponse): Promise<void> => {
+const routeRequest = async (routes: readonly Route[], req: IncomingMessage, res: ServerResponse): Promise<void> => {
     const url = new URL(req.url ?? "/", "http://standin");
     const method = req.method ?? "GET";
     const matches = routes
@@ -83,13 +83,13 @@
 /**
  * Serves routes and `/control` over HTTP.
  *
- * @returns the base URL, once the port listens
+ * @returns the base URL, once the server listens
  */
-export function serve(service: Service): Promise<string> {
+export function serve(options: ServerOptions): Promise<string> {
     const sockets = new Set<Socket>();
-    const routes = [...controlRoutes(service.switches, sockets, service.silence), ...service.routes];
+    const routes = [...controlRoutes(options.switches, sockets, options.silence), ...options.routes];
     const server = createServer((req, res) => {
-        answer(routes, req, res).catch((err: unknown) => answerError(res, err));
+        routeRequest(routes, req, res).catch((err: unknown) => sendError(res, err));
     });
     server.keepAliveTimeout = KEEP_ALIVE_MS;
     server.requestTimeout = 0;
@@ -100,9 +100,9 @@
     });
     return new Promise((resolve, reject) => {
         server.on("error", reject);
-        server.listen(service.port, service.host, () => {
+        server.listen(options.port, options.host, () => {
             const { port } = server.address() as AddressInfo;
-            resolve(`http://${service.host}:${port}`);
+            resolve(`http://${options.host}:${port}`);
         });
     });
 }
--- a/packages/standins/src/common/muteSocket.ts
+++ b/packages/standins/src/common/silenceSocket.ts
@@ -1,10 +1,10 @@
 import type { Socket } from "node:net";
 
 /**
- * Makes an open connection silent for good: what arrives is read, and nothing leaves any more, not even its end. The
- * peer sees what it would see after a middlebox lost track of the connection.
+ * Silences an open connection permanently: incoming data is still read, but nothing is sent any more, not even the end
+ * of the connection. The other side sees the same as after a middlebox lost its state of the connection.
  */
-export function muteSocket(socket: Socket): void {
+export function silenceSocket(socket: Socket): void {
     socket.write = (...args: unknown[]) => {
         const done = args.find(arg => typeof arg === "function") as (() => void) | undefined;
         done?.();
--- a/packages/standins/src/common/sleep.ts
+++ b/packages/standins/src/common/sleep.ts
@@ -1,6 +1,6 @@
 import type { Clock } from "./Clock.js";
 
-/** Settles after some milliseconds of the given clock. */
+/** Resolves after a delay measured by the given clock; immediately if the delay is not positive. */
 export function sleep(clock: Clock, ms: number): Promise<void> {
     return ms <= 0 ? Promise.resolve() : new Promise(resolve => clock.after(ms, resolve));
 }
--- a/packages/standins/src/common/systemClock.ts
+++ b/packages/standins/src/common/systemClock.ts
@@ -1,10 +1,10 @@
 import type { Clock } from "./Clock.js";
 
-/** The clock and timers of this machine. */
+/** Clock and timers of this machine. */
 const systemClock: Clock = {
     now: () => performance.timeOrigin + performance.now(),
-    after: (ms, act) => {
-        const timer = setTimeout(act, ms);
+    after: (ms, callback) => {
+        const timer = setTimeout(callback, ms);
         return () => clearTimeout(timer);
     },
 };
--- a/packages/standins/src/engine/AnswerContext.ts
+++ b/packages/standins/src/engine/AnswerContext.ts
@@ -3,16 +3,16 @@
 import type { AnswerIdentity } from "./AnswerIdentity.js";
 import type { StreamFault } from "./StreamFault.js";
 
-/** What writing an answer needs to know. */
+/** What an answer writer needs to know of its request. */
 export type AnswerContext = {
     readonly res: ServerResponse;
     readonly identity: AnswerIdentity;
     readonly incarnation: string;
     readonly model: string;
-    /** Chats and plain completions name their parts differently. */
+    /** Whether the answer has the form of a chat completion; plain completions have other field names. */
     readonly chat: boolean;
     readonly promptTokens: number;
-    /** "length" when the caller's bound ended the answer, "stop" when the engine's own did. */
+    /** "length" if the caller's token limit ends the answer, "stop" if the engine's own limit does. */
     readonly finishReason: "length" | "stop";
     readonly fault: StreamFault;
 };
--- a/packages/standins/src/engine/AnswerIdentity.ts
+++ b/packages/standins/src/engine/AnswerIdentity.ts
@@ -1,6 +1,6 @@
-/** What marks an answer as the answer to one dispatch. */
+/** Ties an answer to one dispatch. */
 export type AnswerIdentity = {
     readonly dispatchId: string;
-    /** Seed of the answer's tokens. */
+    /** Seed from which the answer's tokens are generated. */
     readonly seed: number;
 };
--- a/packages/standins/src/engine/AnswerWriter.ts
+++ b/packages/standins/src/engine/AnswerWriter.ts
@@ -1,4 +1,4 @@
-/** Writes one answer as its tokens come. */
+/** Writes one answer; called as its tokens are generated. */
 export type AnswerWriter = {
     readonly started: (cachedTokens: number) => void;
     readonly token: (position: number, last: boolean) => void;
--- a/packages/standins/src/engine/Batch.ts
+++ b/packages/standins/src/engine/Batch.ts
@@ -1,6 +1,6 @@
 import type { Sequence } from "./Sequence.js";
 
-/** The requests in an engine: those in the shared batch, and those that wait for a place in it. */
+/** Requests in an engine: `running` in the shared batch, or `waiting` for a place in it. */
 export type Batch = {
     readonly running: readonly Sequence[];
     readonly waiting: readonly Sequence[];
--- a/packages/standins/src/engine/CacheChange.ts
+++ b/packages/standins/src/engine/CacheChange.ts
@@ -1,6 +1,6 @@
 import type { PieceCache } from "./PieceCache.js";
 
-/** A cache after a change, and the hashes that came and went. */
+/** A cache after a change, with the hashes that were added and removed. */
 export type CacheChange = {
     readonly cache: PieceCache;
     readonly stored: readonly string[];
--- a/packages/standins/src/engine/CacheEvent.ts
+++ b/packages/standins/src/engine/CacheEvent.ts
@@ -1,4 +1,4 @@
-/** One change of an engine's cache, as it is published. `seq` grows by one from 1 in each incarnation. */
+/** One published change of an engine's cache. `seq` starts at 1 in each incarnation and increases by 1. */
 export type CacheEvent = {
     readonly incarnation: string;
     readonly seq: number;
--- a/packages/standins/src/engine/CompletionBody.ts
+++ b/packages/standins/src/engine/CompletionBody.ts
@@ -3,10 +3,10 @@
 const DEFAULT_PRIORITY = 5;
 const NO_SALT = "0".repeat(64);
 
-/** A part of a message's content; only text is read. */
+/** A part of a message's content; only its text is used. */
 const ContentPart = z.object({ text: z.string().default("") });
 
-/** Body of a completion call, as far as the engine reads it. */
+/** Body of a completion call; only the fields that the engine uses. */
 const CompletionBody = z.object({
     model: z.string().min(1),
     messages: z.array(z.object({
--- a/packages/standins/src/engine/Engine.ts
+++ b/packages/standins/src/engine/Engine.ts
@@ -1,7 +1,7 @@
 import type { Clock } from "../common/Clock.js";
 import type { History } from "../common/History.js";
 import type { Switches } from "../common/Switches.js";
-import type { createCacheHolder } from "./createCacheHolder.js";
+import type { createCacheState } from "./createCacheState.js";
 import type { createEventStream } from "./createEventStream.js";
 import type { createScheduler } from "./createScheduler.js";
 import type { EngineEntry } from "./EngineEntry.js";
@@ -10,7 +10,7 @@
 import type { LoadReport } from "./LoadReport.js";
 import type { Weights } from "./Weights.js";
 
-/** One model engine and its parts, as its routes see it. */
+/** State and parts of one model engine, used by its routes. */
 export type Engine = {
     readonly flags: EngineFlags;
     readonly incarnation: string;
@@ -18,11 +18,11 @@
     readonly switches: Switches<EngineSwitches>;
     readonly history: History<EngineEntry>;
     readonly events: ReturnType<typeof createEventStream>;
-    readonly cache: ReturnType<typeof createCacheHolder>;
+    readonly cache: ReturnType<typeof createCacheState>;
     readonly scheduler: ReturnType<typeof createScheduler>;
     readonly weights: () => Weights;
     readonly setWeights: (weights: Weights) => void;
-    /** False while it starts, or while a switch says so. */
+    /** False during the cold start, or while the switch `unready` is on. */
     readonly ready: () => boolean;
     /** The load as it was `loadLagMs` ago. */
     readonly reportedLoad: () => LoadReport;
--- a/packages/standins/src/engine/EngineEntry.ts
+++ b/packages/standins/src/engine/EngineEntry.ts
@@ -11,24 +11,24 @@
     readonly resumeFrom: number;
     readonly priority: number;
     readonly pieces: readonly string[];
-    /** When its last byte had come, in milliseconds since the epoch. */
+    /** When its last byte had arrived, in milliseconds since the epoch. */
     readonly arrivedAt: number;
     /** When it joined the batch. */
     readonly at: number;
 };
 
-/** A request that left the engine, after `tokens` of its answer were generated here. */
+/** A request that left the engine after `tokens` tokens of its answer were generated here. */
 type EndEntry = {
     readonly kind: "end";
     readonly dispatchId: string | undefined;
     readonly outcome: "complete" | "cancelled";
     readonly tokens: number;
-    /** When the first of them was generated; undefined when none was. */
+    /** When the first of them was generated; `undefined` if none was. */
     readonly firstTokenAt: number | undefined;
     readonly at: number;
 };
 
-/** A change of the cache, told here at once and without loss. */
+/** A change of the cache. Unlike cache events, it is recorded at once and never lost. */
 type CacheEntry = {
     readonly kind: "cache";
     readonly stored: readonly string[];
@@ -36,7 +36,7 @@
     readonly at: number;
 };
 
-/** The start of a process; everything before it in a file belongs to an earlier incarnation. */
+/** The start of a process; entries before it in a file belong to earlier incarnations. */
 type StartEntry = { readonly kind: "start"; readonly incarnation: string; readonly at: number; };
 
 /** One line of a model engine's history. */
--- a/packages/standins/src/engine/EngineSwitches.ts
+++ b/packages/standins/src/engine/EngineSwitches.ts
@@ -2,37 +2,37 @@
 
 /** Switches of a model engine. */
 const EngineSwitches = z.strictObject({
-    /** A request whose prompt has this text makes the process exit when it joins the batch. Empty: none does. */
+    /** A request whose prompt contains this text makes the process exit when it joins the batch. Empty: none does. */
     crashOn: z.string().default(""),
-    /** The next requests are refused before they run: 503 with `x-not-run: 1`. */
+    /** Number of next requests that are refused before they run: 503 with `x-not-run: 1`. */
     refuse: z.number().int().min(0).default(0),
-    /** Every request is refused in this way, and `/health` answers 503. */
+    /** Every request is refused in the same way, and `/health` answers 503. */
     unready: z.boolean().default(false),
-    /** Steps take this many times as long. */
+    /** Factor by which the duration of steps is multiplied. */
     slowFactor: z.number().positive().default(1),
-    /** Steps stop; connections stay open. */
+    /** No further step is started; connections stay open. */
     frozen: z.boolean().default(false),
-    /** Connections of the next streams are destroyed after `cutAfterTokens` tokens. */
+    /** Number of next streams whose connection is destroyed after `cutAfterTokens` tokens. */
     cutStreams: z.number().int().min(0).default(0),
-    /** The next streams send nothing more after `cutAfterTokens` tokens, and stay open. */
+    /** Number of next streams that send nothing after `cutAfterTokens` tokens but stay open. */
     stallStreams: z.number().int().min(0).default(0),
     cutAfterTokens: z.number().int().min(0).default(3),
-    /** The next answers carry the dispatch id and tokens of the request before them. */
+    /** Number of next answers that get the dispatch id and tokens of the previous request. */
     crossAnswers: z.number().int().min(0).default(0),
-    /** The next streams leave out the token at `cutAfterTokens`. */
+    /** Number of next streams that omit the token at `cutAfterTokens`. */
     skipTokens: z.number().int().min(0).default(0),
-    /** The next streams send the token at `cutAfterTokens` twice. */
+    /** Number of next streams that send the token at `cutAfterTokens` twice. */
     repeatTokens: z.number().int().min(0).default(0),
-    /** Every part of an answer comes this many milliseconds late. */
+    /** Delay of every part of an answer. */
     answerDelayMs: z.number().min(0).default(0),
     eventLagMs: z.number().min(0).default(0),
     eventLoss: z.number().min(0).max(1).default(0),
     loadLagMs: z.number().min(0).default(0),
-    /** Orders are executed, and their connections are destroyed instead of an answer. */
+    /** Number of next orders that are executed but whose connection is destroyed instead of answered. */
     loseOrderAnswers: z.number().int().min(0).default(0),
-    /** Loads take this much longer. */
+    /** Time added to each load of weights. */
     loadDelayMs: z.number().min(0).default(0),
-    /** Counts up: a change empties the cache and publishes `cleared`. */
+    /** A counter: any change of its value empties the cache and publishes `cleared`. */
     clearCache: z.number().int().min(0).default(0),
 });
 type EngineSwitches = z.infer<typeof EngineSwitches>;
--- a/packages/standins/src/engine/LoadReport.ts
+++ b/packages/standins/src/engine/LoadReport.ts
@@ -3,7 +3,7 @@
     readonly incarnation: string;
     readonly running: number;
     readonly waiting: number;
-    /** Prompt tokens still to compute, over all requests. */
+    /** Prompt tokens still to be computed, over all running and waiting requests. */
     readonly waitingTokens: number;
     readonly cachedPieces: number;
     readonly maxPieces: number;
--- a/packages/standins/src/engine/PieceCache.ts
+++ b/packages/standins/src/engine/PieceCache.ts
@@ -1,2 +1,2 @@
-/** Cached pieces of prompts by hash, least recently used first, with the time of their last use. */
+/** Time of last use of each cached prompt piece by its hash, least recently used first. */
 export type PieceCache = ReadonlyMap<string, number>;
--- a/packages/standins/src/engine/Sequence.ts
+++ b/packages/standins/src/engine/Sequence.ts
@@ -1,15 +1,15 @@
-/** One request in the engine: a prompt to compute, then tokens to generate. */
+/** One request in the engine: a prompt to prefill, then tokens to generate. */
 export type Sequence = {
     readonly id: string;
-    /** Lower goes first. */
+    /** Lower values go first. */
     readonly priority: number;
     /** Order of arrival, among equal priorities. */
     readonly order: number;
     readonly pieces: readonly string[];
     readonly pieceTokens: number;
-    /** Tokens to compute before the first new token: the prompt, and the output before the position asked for. */
+    /** Tokens to compute before the first new one: the prompt and, when resuming, the output before the position. */
     readonly promptTokens: number;
-    /** Tokens computed, or found in the cache, so far. */
+    /** Tokens computed so far or found in the cache. */
     readonly computedTokens: number;
     /** Tokens found in the cache when the request joined the batch. */
     readonly cachedTokens: number;
--- a/packages/standins/src/engine/StepCosts.ts
+++ b/packages/standins/src/engine/StepCosts.ts
@@ -1,7 +1,7 @@
-/** What the engine's work costs. */
+/** Time that the engine's work takes, and the limit of one step. */
 export type StepCosts = {
     readonly prefillUsPerToken: number;
     readonly decodeMsPerToken: number;
-    /** Most prompt tokens that one step computes, over all requests of the batch. */
+    /** Maximum number of prompt tokens that one step computes, over all requests of the batch. */
     readonly prefillChunk: number;
 };
--- a/packages/standins/src/engine/StepPlan.ts
+++ b/packages/standins/src/engine/StepPlan.ts
@@ -1,8 +1,8 @@
-/** What one step of the batch does. */
+/** Work of one step of the batch. */
 export type StepPlan = {
-    /** Prompt tokens computed in this step, by request. */
+    /** Number of prompt tokens computed in this step, by request id. */
     readonly prefill: ReadonlyMap<string, number>;
-    /** Requests that get their next token in this step. */
+    /** Ids of the requests whose next token is generated in this step. */
     readonly decode: ReadonlySet<string>;
     readonly durationMs: number;
 };
--- a/packages/standins/src/engine/StreamFault.ts
+++ b/packages/standins/src/engine/StreamFault.ts
@@ -1,4 +1,4 @@
-/** What goes wrong with one answer at the token `at`, counted from the first one sent. */
+/** Fault injected into one answer at its token `at`, counted from 0 at the first token sent. */
 export type StreamFault = {
     readonly kind: "none" | "cut" | "stall" | "skip" | "repeat";
     readonly at: number;
--- a/packages/standins/src/engine/Weights.ts
+++ b/packages/standins/src/engine/Weights.ts
@@ -1,6 +1,6 @@
 import type { Holding } from "./Holding.js";
 
-/** What an engine holds and does. */
+/** Weights and role of an engine; orders change them. */
 export type Weights = {
     readonly holds: readonly Holding[];
     readonly loading: readonly Holding[];
--- a/packages/standins/src/engine/answerHeaders.ts
+++ b/packages/standins/src/engine/answerHeaders.ts
@@ -1,6 +1,6 @@
 import type { AnswerContext } from "./AnswerContext.js";
 
-/** The headers of every answer that ran. */
+/** Returns the headers that are on the answer to every request that ran. */
 export function answerHeaders(context: AnswerContext, cachedTokens: number): Readonly<Record<string, string>> {
     return {
         "x-dispatch-id": context.identity.dispatchId,
--- a/packages/standins/src/engine/applyOrder.ts
+++ b/packages/standins/src/engine/applyOrder.ts
@@ -3,7 +3,7 @@
 import { sameHolding } from "./sameHolding.js";
 import type { Weights } from "./Weights.js";
 
-/** What comes of an order. `load` names weights whose loading has to begin. */
+/** Result of an order. `load` names the weights that now have to be loaded, if any. */
 type OrderResult =
     | { readonly kind: "refused"; readonly fencing: number; }
     | {
@@ -17,9 +17,9 @@
     list.filter(other => !sameHolding(other, holding));
 
 /**
- * Executes an order. The same order again changes nothing.
+ * Executes an order. Repeating an order changes nothing.
  *
- * @param checksFencing whether an order with a lower number than one executed before is refused
+ * @param checksFencing whether an order with a lower fencing number than the newest executed one is refused
  */
 export function applyOrder(weights: Weights, order: Order, checksFencing: boolean): OrderResult {
     if (checksFencing && order.fencing < weights.fencing) {
--- a/packages/standins/src/engine/cacheRoutes.ts
+++ b/packages/standins/src/engine/cacheRoutes.ts
@@ -9,7 +9,7 @@
 
 const After = z.coerce.number().int().min(0).default(0);
 
-/** The routes that tell what an engine caches. */
+/** Creates the routes that list what an engine caches and stream the changes. */
 export function cacheRoutes({ incarnation, events, cache }: Engine): readonly Route[] {
     const follow = ({ res, query }: HttpRequest): void => {
         const after = After.safeParse(query.get("after") ?? undefined);
--- a/packages/standins/src/engine/completionRoutes.ts
+++ b/packages/standins/src/engine/completionRoutes.ts
@@ -15,18 +15,18 @@
 import { findHolding } from "./findHolding.js";
 import { hashPieces } from "./hashPieces.js";
 import type { Holding } from "./Holding.js";
+import { jsonAnswer } from "./jsonAnswer.js";
 import { promptOf } from "./promptOf.js";
 import type { Sequence } from "./Sequence.js";
 import { streamAnswer } from "./streamAnswer.js";
 import { takeStreamFault } from "./takeStreamFault.js";
-import { wholeAnswer } from "./wholeAnswer.js";
 
 const BYTES_PER_TOKEN = 4;
 const DEFAULT_MAX_TOKENS = 16;
 const CRASH_EXIT_CODE = 137;
 const NOT_RUN = { "x-not-run": "1" };
 
-const refuseWhereAsked = ({ switches, ready }: Engine): void => {
+const refuseIfNotReady = ({ switches, ready }: Engine): void => {
     const { refuse } = switches.current();
     if (refuse > 0) {
         switches.update({ refuse: refuse - 1 });
@@ -44,16 +44,16 @@
         version: header(request.req, "x-weights-version"),
     });
     if (found.kind !== "held") {
-        const status = found.kind === "unknown" ? 404 : 412;
+        const status = found.kind === "unknown-model" ? 404 : 412;
         throw new HttpError(status, "These weights are not held here.", NOT_RUN);
     }
     return found.holding;
 };
 
-const askedTokens = (body: CompletionBody): number =>
+const requestedTokens = (body: CompletionBody): number =>
     body.max_completion_tokens ?? body.max_tokens ?? DEFAULT_MAX_TOKENS;
 
-/** One request on its way through the engine. */
+/** One request in processing. */
 type Job = {
     readonly request: HttpRequest;
     readonly body: CompletionBody;
@@ -82,19 +82,19 @@
     at,
 });
 
-/** The routes that run requests. */
+/** Creates the routes that run requests. */
 export function completionRoutes(engine: Engine): readonly Route[] {
     const { clock, flags, history, scheduler, switches } = engine;
     let arrivals = 0;
-    let previous: AnswerIdentity | undefined;
+    let previousIdentity: AnswerIdentity | undefined;
 
-    const identityOf = (own: AnswerIdentity): AnswerIdentity => {
+    const takeIdentity = (own: AnswerIdentity): AnswerIdentity => {
         const { crossAnswers } = switches.current();
-        const crossed = crossAnswers > 0 ? previous : undefined;
+        const crossed = crossAnswers > 0 ? previousIdentity : undefined;
         if (crossed !== undefined) {
             switches.update({ crossAnswers: crossAnswers - 1 });
         }
-        previous = own;
+        previousIdentity = own;
         return crossed ?? own;
     };
     const sequenceOf = (body: CompletionBody, prompt: Buffer): Sequence => {
@@ -109,25 +109,25 @@
             computedTokens: 0,
             cachedTokens: 0,
             position: body.resume_from,
-            endPosition: Math.min(askedTokens(body), flags.maxAnswerTokens),
+            endPosition: Math.min(requestedTokens(body), flags.maxAnswerTokens),
         };
     };
     const writerOf = (job: Job): AnswerWriter => {
         const { body, dispatchId, holding, prompt, request, sequence } = job;
         const seed = answerSeed({ prompt, ...holding, adapter: holding.adapter ?? "" });
-        const direct = (body.stream ? streamAnswer : wholeAnswer)({
+        const undelayed = (body.stream ? streamAnswer : jsonAnswer)({
             res: request.res,
-            identity: identityOf({ dispatchId, seed }),
+            identity: takeIdentity({ dispatchId, seed }),
             incarnation: engine.incarnation,
             model: body.model,
             chat: request.path.includes("/chat/"),
             promptTokens: promptTokensOf(job),
-            finishReason: sequence.endPosition < askedTokens(body) ? "stop" : "length",
+            finishReason: sequence.endPosition < requestedTokens(body) ? "stop" : "length",
             fault: takeStreamFault(switches),
         });
-        return delayWriter(direct, clock, switches.current().answerDelayMs);
+        return delayWriter(undelayed, clock, switches.current().answerDelayMs);
     };
-    const crashWhereAsked = ({ prompt }: Job): void => {
+    const crashIfConfigured = ({ prompt }: Job): void => {
         const { crashOn } = switches.current();
         if (crashOn !== "" && prompt.includes(crashOn)) {
             process.exit(CRASH_EXIT_CODE);
@@ -146,7 +146,7 @@
         const cancel = scheduler.submit(job.sequence, {
             started: ({ cachedTokens }) => {
                 history.add(runEntryOf(job, cachedTokens, clock.now()));
-                crashWhereAsked(job);
+                crashIfConfigured(job);
                 writer.started(cachedTokens);
             },
             token: (position, last) => {
@@ -168,7 +168,7 @@
     const handle = async (request: HttpRequest): Promise<void> => {
         const body = await readJson(request.req, CompletionBody);
         const arrivedAt = clock.now();
-        refuseWhereAsked(engine);
+        refuseIfNotReady(engine);
         const holding = holdingFor(engine, request, body);
         const prompt = promptOf(body);
         const dispatchId = header(request.req, "x-dispatch-id") ?? randomUUID();
--- a/packages/standins/src/engine/createCacheHolder.ts
+++ b/packages/standins/src/engine/createCacheState.ts
@@ -5,7 +5,7 @@
 import type { PieceCache } from "./PieceCache.js";
 import { storePieces } from "./storePieces.js";
 
-/** What a cache is bounded by, and whom it tells of its changes. */
+/** Limits of a cache, and the callbacks for its changes. */
 type CacheContext = {
     readonly clock: Clock;
     readonly maxPieces: number;
@@ -14,18 +14,18 @@
     readonly record: (stored: readonly string[], removed: readonly string[]) => void;
 };
 
-/** The cache of an engine as it stands, and what changes it. */
-type CacheHolder = {
+/** Current cache of an engine, and the operations that change it. */
+type CacheState = {
     readonly current: () => PieceCache;
-    /** Takes over a cache whose pieces were only marked as used. */
-    readonly touched: (cache: PieceCache) => void;
+    /** Replaces the cache by one whose pieces differ only in their last use; publishes nothing. */
+    readonly replace: (cache: PieceCache) => void;
     readonly store: (chain: readonly string[]) => void;
     readonly expire: () => void;
     readonly clear: () => void;
 };
 
 /** Creates an empty cache. */
-export function createCacheHolder(context: CacheContext): CacheHolder {
+export function createCacheState(context: CacheContext): CacheState {
     const { clock, maxPieces, pieceIdleMs, publish, record } = context;
     let cache: PieceCache = new Map();
 
@@ -49,7 +49,7 @@
     };
     return {
         current: () => cache,
-        touched: next => {
+        replace: next => {
             cache = next;
         },
         store: chain => apply(storePieces(cache, chain, maxPieces, clock.now())),
--- a/packages/standins/src/engine/createEngine.ts
+++ b/packages/standins/src/engine/createEngine.ts
@@ -8,7 +8,7 @@
 import { sampleAt } from "../common/sampleAt.js";
 import { seededRandom } from "../common/seededRandom.js";
 import type { Batch } from "./Batch.js";
-import { createCacheHolder } from "./createCacheHolder.js";
+import { createCacheState } from "./createCacheState.js";
 import { createEventStream } from "./createEventStream.js";
 import { createScheduler } from "./createScheduler.js";
 import type { Engine } from "./Engine.js";
@@ -21,12 +21,12 @@
 import type { Weights } from "./Weights.js";
 
 const INCARNATION_BYTES = 6;
-const EXPIRY_CHECKS = 4;
+const EXPIRY_CHECKS_PER_IDLE_TIME = 4;
 
 const uncomputedTokens = ({ running, waiting }: Batch): number =>
     [...running, ...waiting].reduce((sum, { promptTokens, computedTokens }) => sum + promptTokens - computedTokens, 0);
 
-/** Creates a model engine; its cold start begins now. */
+/** Creates a model engine, whose cold start begins immediately. */
 export function createEngine(flags: EngineFlags, clock: Clock): Engine {
     const incarnation = `${flags.name}-${randomBytes(INCARNATION_BYTES).toString("hex")}`;
     const history = openHistory<EngineEntry>(flags.history);
@@ -41,16 +41,16 @@
         }
         scheduler.resume();
     });
-    const exported = flags.kvStore === undefined ? () => undefined : exportToStore(flags.kvStore, flags.kvBytes);
+    const exportPieces = flags.kvStore === undefined ? () => undefined : exportToStore(flags.kvStore, flags.kvBytes);
     const events = createEventStream({ incarnation, clock, random, faults: switches.current });
-    const cache = createCacheHolder({
+    const cache = createCacheState({
         clock,
         maxPieces: flags.maxPieces,
         pieceIdleMs: flags.pieceIdleMs,
         publish: (kind, hashes) => {
             events.publish(kind, hashes);
             if (kind === "stored") {
-                exported(hashes);
+                exportPieces(hashes);
             }
         },
         record: (stored, removed) => history.add({ kind: "cache", stored, removed, at: clock.now() }),
@@ -77,19 +77,19 @@
         },
         frozen: () => switches.current().frozen,
         cache,
-        scheduled: batch => {
+        onScheduled: batch => {
             const sample = { at: clock.now(), value: report(batch) };
             samples = addSample(samples, sample, sample.at - switches.current().loadLagMs);
         },
     });
     const expire = (): void => {
         cache.expire();
-        clock.after(flags.pieceIdleMs / EXPIRY_CHECKS, expire);
+        clock.after(flags.pieceIdleMs / EXPIRY_CHECKS_PER_IDLE_TIME, expire);
     };
     const { eventLagMs, eventLoss, loadLagMs, crashOn } = flags;
     switches.update({ eventLagMs, eventLoss, loadLagMs, crashOn });
     history.add({ kind: "start", incarnation, at: startedAt });
-    clock.after(flags.pieceIdleMs / EXPIRY_CHECKS, expire);
+    clock.after(flags.pieceIdleMs / EXPIRY_CHECKS_PER_IDLE_TIME, expire);
     return {
         flags,
         incarnation,
--- a/packages/standins/src/engine/createEventStream.ts
+++ b/packages/standins/src/engine/createEventStream.ts
@@ -1,12 +1,12 @@
 import type { Clock } from "../common/Clock.js";
 import type { CacheEvent } from "./CacheEvent.js";
 
-const KEPT_EVENTS = 10_000;
+const MAX_KEPT_EVENTS = 10_000;
 
-/** How late events come, and how many are lost. */
+/** Delay of events, and the fraction of them that is lost. */
 type EventFaults = { readonly eventLagMs: number; readonly eventLoss: number; };
 
-/** What the stream of cache events needs. */
+/** Dependencies of the stream of cache events. */
 type EventContext = {
     readonly incarnation: string;
     readonly clock: Clock;
@@ -14,13 +14,13 @@
     readonly faults: () => EventFaults;
 };
 
-/** Publishes cache events late, and leaves some out. */
+/** Publishes cache events, delayed and with some of them lost. */
 type EventStream = {
     readonly publish: (kind: CacheEvent["kind"], hashes: readonly string[]) => void;
-    /** Sequence number of the newest change, published or not. */
+    /** Sequence number of the newest change, including those delayed or lost. */
     readonly seq: () => number;
-    /** Gives the events after a number that are out already, then each new one; returns what ends it. */
-    readonly subscribe: (after: number, take: (event: CacheEvent) => void) => () => void;
+    /** Calls a listener with the published events after a number, then each new one; returns what unsubscribes it. */
+    readonly subscribe: (after: number, listener: (event: CacheEvent) => void) => () => void;
 };
 
 /** Creates the stream of cache events of one incarnation. */
@@ -31,8 +31,8 @@
     let published: readonly CacheEvent[] = [];
 
     const deliver = (event: CacheEvent): void => {
-        published = [...published, event].slice(-KEPT_EVENTS);
-        subscribers.forEach(take => take(event));
+        published = [...published, event].slice(-MAX_KEPT_EVENTS);
+        subscribers.forEach(listener => listener(event));
     };
     const publish = (kind: CacheEvent["kind"], hashes: readonly string[]): void => {
         seq += 1;
@@ -45,10 +45,10 @@
         lastDueAt = Math.max(lastDueAt, now + eventLagMs);
         clock.after(lastDueAt - now, () => deliver(event));
     };
-    const subscribe = (after: number, take: (event: CacheEvent) => void): () => void => {
-        published.filter(event => event.seq > after).forEach(take);
-        subscribers.add(take);
-        return () => subscribers.delete(take);
+    const subscribe = (after: number, listener: (event: CacheEvent) => void): () => void => {
+        published.filter(event => event.seq > after).forEach(listener);
+        subscribers.add(listener);
+        return () => subscribers.delete(listener);
     };
     return { publish, seq: () => seq, subscribe };
 }
--- a/packages/standins/src/engine/createScheduler.ts
+++ b/packages/standins/src/engine/createScheduler.ts
@@ -8,17 +8,17 @@
 import type { StepCosts } from "./StepCosts.js";
 import type { StepPlan } from "./StepPlan.js";
 
-/** Longest time by which a late timer's steps are made up for. */
-const CATCH_UP_MS = 200;
+/** Maximum delay of a late timer for which the following steps compensate. */
+const MAX_CATCH_UP_MS = 200;
 
-/** What hears of a request's progress. */
+/** Callbacks for the progress of a request. */
 type SequenceListener = {
-    /** The request joined the batch; the sequence tells what was cached. */
+    /** Called when the request has joined the batch; the sequence says how many tokens were cached. */
     readonly started: (sequence: Sequence) => void;
     readonly token: (position: number, last: boolean) => void;
 };
 
-/** What the scheduler needs. */
+/** Dependencies of the scheduler. */
 type SchedulerContext = {
     readonly clock: Clock;
     readonly maxBatch: number;
@@ -26,22 +26,22 @@
     readonly frozen: () => boolean;
     readonly cache: {
         readonly current: () => PieceCache;
-        readonly touched: (cache: PieceCache) => void;
+        readonly replace: (cache: PieceCache) => void;
         readonly store: (chain: readonly string[]) => void;
     };
     /**
-     * Called after requests joined the batch and before its step, as engines publish their gauges: what waits then did
-     * not fit. A request that comes during a step is not told of until that step is over.
+     * Called after requests have joined the batch and before its step, which is when engines publish their gauges:
+     * requests still waiting then did not fit. A request that arrives during a step is reported after that step.
      */
-    readonly scheduled: (batch: Batch) => void;
+    readonly onScheduled: (batch: Batch) => void;
 };
 
 /** Runs requests in a shared batch, step by step. */
 type Scheduler = {
-    /** Takes a request in; returns the function that cancels it. */
+    /** Adds a request; returns the function that cancels it. */
     readonly submit: (sequence: Sequence, listener: SequenceListener) => () => void;
     readonly batch: () => Batch;
-    /** Goes on after a freeze. */
+    /** Continues after a freeze. */
     readonly resume: () => void;
 };
 
@@ -50,17 +50,17 @@
     const { clock, cache } = context;
     const listeners = new Map<string, SequenceListener>();
     let batch: Batch = { running: [], waiting: [] };
-    let stepping = false;
-    let stepEnd = 0;
+    let isStepping = false;
+    let stepEndsAt = 0;
 
     const admit = (): void => {
         const admission = admitSequences(batch, cache.current(), context.maxBatch, clock.now());
         batch = admission.batch;
-        cache.touched(admission.cache);
+        cache.replace(admission.cache);
         admission.admitted.forEach(sequence => listeners.get(sequence.id)?.started(sequence));
     };
     const finish = (plan: StepPlan): void => {
-        stepping = false;
+        isStepping = false;
         const { running, generated, chains } = finishStep(batch.running, plan);
         batch = { ...batch, running };
         chains.forEach(cache.store);
@@ -71,22 +71,22 @@
             }
             listener?.token(position, last);
         });
-        step(stepEnd);
+        step(stepEndsAt);
     };
     const step = (from: number): void => {
-        if (stepping || context.frozen()) {
+        if (isStepping || context.frozen()) {
             return;
         }
         admit();
-        context.scheduled(batch);
+        context.onScheduled(batch);
         if (batch.running.length === 0) {
             return;
         }
-        stepping = true;
+        isStepping = true;
         const plan = planStep(batch.running, context.costs());
         const now = clock.now();
-        stepEnd = Math.max(from, now - CATCH_UP_MS) + plan.durationMs;
-        clock.after(Math.max(stepEnd - now, 0), () => finish(plan));
+        stepEndsAt = Math.max(from, now - MAX_CATCH_UP_MS) + plan.durationMs;
+        clock.after(Math.max(stepEndsAt - now, 0), () => finish(plan));
     };
     const cancel = (id: string): void => {
         listeners.delete(id);
--- a/packages/standins/src/engine/expirePieces.ts
+++ b/packages/standins/src/engine/expirePieces.ts
@@ -1,7 +1,7 @@
 import type { CacheChange } from "./CacheChange.js";
 import type { PieceCache } from "./PieceCache.js";
 
-/** Drops the pieces that nobody used for some time. */
+/** Drops the pieces that have not been used for longer than `idleMs`. */
 export function expirePieces(cache: PieceCache, idleMs: number, now: number): CacheChange {
     const removed = [...cache].filter(([, usedAt]) => now - usedAt > idleMs).map(([piece]) => piece);
     if (removed.length === 0) {
--- a/packages/standins/src/engine/findHolding.ts
+++ b/packages/standins/src/engine/findHolding.ts
@@ -1,20 +1,20 @@
 import type { Holding } from "./Holding.js";
 
-/** Weights that a call asks for. */
+/** Weights that a call requests. */
 type WantedWeights = {
     readonly model: string;
     readonly adapter: string | undefined;
-    /** Undefined takes any version that is held. */
+    /** `undefined` accepts any version that is held. */
     readonly version: string | undefined;
 };
 
-/** What was found; `unknown` model and missing `version` are refused with different statuses. */
-type Found =
+/** Result of a lookup. The two failures are refused with different statuses. */
+type HoldingLookup =
     | { readonly kind: "held"; readonly holding: Holding; }
-    | { readonly kind: "unknown" | "version"; };
+    | { readonly kind: "unknown-model" | "missing-weights"; };
 
-/** Looks for the weights that a call asks for. */
-export function findHolding(holds: readonly Holding[], wanted: WantedWeights): Found {
+/** Finds the weights that a call requests. */
+export function findHolding(holds: readonly Holding[], wanted: WantedWeights): HoldingLookup {
     const ofModel = holds.filter(({ model }) => model === wanted.model);
     const holding = ofModel.find(({ adapter, version }) =>
         (adapter ?? "") === (wanted.adapter ?? "") && (wanted.version ?? version) === version
@@ -22,5 +22,5 @@
     if (holding !== undefined) {
         return { kind: "held", holding };
     }
-    return { kind: ofModel.length === 0 ? "unknown" : "version" };
+    return { kind: ofModel.length === 0 ? "unknown-model" : "missing-weights" };
 }
--- a/packages/standins/src/engine/hashPieces.ts
+++ b/packages/standins/src/engine/hashPieces.ts
@@ -4,7 +4,7 @@
 const HASH_DIGITS = 32;
 
 /**
- * Hashes the whole pieces of a prompt as `docs/PROTOCOLS.md` says, each together with all before it.
+ * Hashes the complete pieces of a prompt as specified in `docs/PROTOCOLS.md`, each together with all pieces before it.
  *
  * @param salt the `cache_salt` of the request
  */
--- a/packages/standins/src/engine/wholeAnswer.ts
+++ b/packages/standins/src/engine/jsonAnswer.ts
@@ -5,8 +5,8 @@
 import { tokenText } from "./tokenText.js";
 import { usageOf } from "./usageOf.js";
 
-/** Writes an answer as one JSON body once its last token is there. */
-export function wholeAnswer(context: AnswerContext): AnswerWriter {
+/** Creates a writer that sends an answer as one JSON body after its last token. */
+export function jsonAnswer(context: AnswerContext): AnswerWriter {
     const { res, identity, fault } = context;
     let cached = 0;
     let text = "";
--- a/packages/standins/src/engine/kvRoutes.ts
+++ b/packages/standins/src/engine/kvRoutes.ts
@@ -12,7 +12,7 @@
 
 const ImportBody = z.object({
     from: z.string().url(),
-    /** A chain of pieces from its first one. */
+    /** A chain of pieces, beginning with its first piece. */
     hashes: z.array(z.string().min(1)).min(1),
 });
 
@@ -22,15 +22,15 @@
     return answer.statusCode === 200 && bytes.subarray(0, hash.length).toString() === hash;
 };
 
-/** The routes by which KV cache leaves and enters an engine. */
+/** Creates the routes that export and import pieces of KV cache. */
 export function kvRoutes({ cache, clock, flags }: Engine): readonly Route[] {
     const importFrom = async (from: string, hashes: readonly string[], imported: number): Promise<number> => {
         const hash = hashes[imported];
         if (hash === undefined) {
             return imported;
         }
-        const there = cache.current().has(hash) || await fetchPiece(from, hash).catch(() => false);
-        if (!there) {
+        const isAvailable = cache.current().has(hash) || await fetchPiece(from, hash).catch(() => false);
+        if (!isAvailable) {
             return imported;
         }
         await sleep(clock, flags.kvImportMs);
--- a/packages/standins/src/engine/orderRoutes.ts
+++ b/packages/standins/src/engine/orderRoutes.ts
@@ -23,7 +23,7 @@
     return answer.statusCode === 200;
 };
 
-/** The routes that tell and change what an engine holds. */
+/** Creates the routes that report the weights and role of an engine and take orders to change them. */
 export function orderRoutes(engine: Engine): readonly Route[] {
     const { clock, flags, switches, weights, setWeights } = engine;
     const orders: OrderEntry[] = [];
@@ -38,13 +38,13 @@
         setWeights(endLoad(weights(), holding, fetched));
     };
     const order = async ({ req, res }: HttpRequest): Promise<void> => {
-        const asked = await readJson(req, Order);
-        const result = applyOrder(weights(), asked, flags.checksFencing);
+        const requested = await readJson(req, Order);
+        const result = applyOrder(weights(), requested, flags.checksFencing);
         if (result.kind === "refused") {
             throw new HttpError(409, "A newer fencing number was seen.", {}, { fencing: result.fencing });
         }
         setWeights(result.weights);
-        orders.push({ ...asked, at: clock.now() });
+        orders.push({ ...requested, at: clock.now() });
         if (result.unloaded) {
             engine.cache.clear();
         }
--- a/packages/standins/src/engine/parseHolds.ts
+++ b/packages/standins/src/engine/parseHolds.ts
@@ -3,9 +3,9 @@
 const HOLDING = /^([^@:]+)(?::([^@]+))?@(.+)$/;
 
 /**
- * Reads a list such as `advisor@v1,advisor:winter@v1`.
+ * Parses a list of weights such as `advisor@v1,advisor:winter@v1`.
  *
- * @throws Error that names the entry of another form
+ * @throws Error that names the first entry that is not of this form
  */
 export function parseHolds(text: string): readonly Holding[] {
     return text.split(",").filter(entry => entry !== "").map(entry => {
--- a/packages/standins/src/engine/planStep.ts
+++ b/packages/standins/src/engine/planStep.ts
@@ -4,23 +4,23 @@
 
 const US_PER_MS = 1_000;
 
-type Share = { readonly left: number; readonly parts: readonly (readonly [string, number])[]; };
+type PrefillShares = { readonly remaining: number; readonly parts: readonly (readonly [string, number])[]; };
 
-const byTurn = (a: Sequence, b: Sequence): number => a.priority - b.priority || a.order - b.order;
+const byPriority = (a: Sequence, b: Sequence): number => a.priority - b.priority || a.order - b.order;
 
 /**
- * Plans the next step of a batch. Every request whose prompt is computed gets one token; the others share a bounded number
- * of prompt tokens in their order, and the time that these take delays all.
+ * Plans the next step of a batch. Every request whose prompt is computed generates one token. The others share a
+ * limited number of prompt tokens in order of priority; computing these delays the tokens of all requests.
  */
 export function planStep(running: readonly Sequence[], costs: StepCosts): StepPlan {
     const decoding = running.filter(({ computedTokens, promptTokens }) => computedTokens >= promptTokens);
     const { parts } = running
         .filter(({ computedTokens, promptTokens }) => computedTokens < promptTokens)
-        .toSorted(byTurn)
-        .reduce<Share>(({ left, parts }, { id, computedTokens, promptTokens }) => {
-            const tokens = Math.min(left, promptTokens - computedTokens);
-            return { left: left - tokens, parts: tokens > 0 ? [...parts, [id, tokens] as const] : parts };
-        }, { left: costs.prefillChunk, parts: [] });
+        .toSorted(byPriority)
+        .reduce<PrefillShares>(({ remaining, parts }, { id, computedTokens, promptTokens }) => {
+            const tokens = Math.min(remaining, promptTokens - computedTokens);
+            return { remaining: remaining - tokens, parts: tokens > 0 ? [...parts, [id, tokens] as const] : parts };
+        }, { remaining: costs.prefillChunk, parts: [] });
     const prefillTokens = parts.reduce((sum, [, tokens]) => sum + tokens, 0);
     const prefillMs = prefillTokens * costs.prefillUsPerToken / US_PER_MS;
     const decodeMs = decoding.length > 0 ? costs.decodeMsPerToken : 0;
--- a/packages/standins/src/engine/promptOf.ts
+++ b/packages/standins/src/engine/promptOf.ts
@@ -6,7 +6,7 @@
 const textOf = (content: Message["content"]): string =>
     typeof content === "string" ? content : (content ?? []).map(({ text }) => text).join("");
 
-/** The prompt of a completion call as bytes. */
+/** Returns the prompt of a completion call as bytes. */
 export function promptOf(body: CompletionBody): Buffer {
     const messages = body.messages?.map(({ role, content }) => ({ role, content: textOf(content) }));
     return Buffer.from(messages === undefined ? body.prompt ?? "" : renderMessages(messages));
--- a/packages/standins/src/engine/storePieces.ts
+++ b/packages/standins/src/engine/storePieces.ts
@@ -3,15 +3,14 @@
 import { touchPieces } from "./touchPieces.js";
 
 /**
- * Stores pieces of a chain, and evicts the least recently used ones beyond the bound.
+ * Stores the pieces of a chain, and evicts the least recently used pieces beyond `maxPieces`.
  *
- * @param chain the pieces of a prompt from its first to the last one computed
- * @param maxPieces most pieces that the cache holds
+ * @param chain pieces of a prompt, from the first one to the last one computed
  */
 export function storePieces(cache: PieceCache, chain: readonly string[], maxPieces: number, now: number): CacheChange {
     const stored = chain.filter(piece => !cache.has(piece));
-    const withAll = new Map([...cache, ...stored.map(piece => [piece, now] as const)]);
-    const touched = touchPieces(withAll, chain, now);
+    const withStored = new Map([...cache, ...stored.map(piece => [piece, now] as const)]);
+    const touched = touchPieces(withStored, chain, now);
     const removed = [...touched.keys()].slice(0, Math.max(touched.size - maxPieces, 0));
     const kept = new Map(touched);
     removed.forEach(piece => kept.delete(piece));
--- a/packages/standins/src/engine/streamAnswer.ts
+++ b/packages/standins/src/engine/streamAnswer.ts
@@ -4,7 +4,7 @@
 import { tokenText } from "./tokenText.js";
 import { usageOf } from "./usageOf.js";
 
-/** Writes an answer as server-sent events, one token each. */
+/** Creates a writer that sends an answer as server-sent events, one per token. */
 export function streamAnswer(context: AnswerContext): AnswerWriter {
     const { res, identity, fault } = context;
     let cached = 0;
--- a/packages/standins/src/engine/takeStreamFault.ts
+++ b/packages/standins/src/engine/takeStreamFault.ts
@@ -9,13 +9,13 @@
     { countdown: "repeatTokens", kind: "repeat" },
 ] as const;
 
-/** Takes the fault that the next answer is to have, and counts it down. */
+/** Returns the fault to inject into the next answer, and decrements its switch. */
 export function takeStreamFault(switches: Switches<EngineSwitches>): StreamFault {
     const current = switches.current();
-    const due = COUNTDOWNS.find(({ countdown }) => current[countdown] > 0);
-    if (due === undefined) {
+    const nextFault = COUNTDOWNS.find(({ countdown }) => current[countdown] > 0);
+    if (nextFault === undefined) {
         return { kind: "none", at: 0 };
     }
-    switches.update({ [due.countdown]: current[due.countdown] - 1 });
-    return { kind: due.kind, at: current.cutAfterTokens };
+    switches.update({ [nextFault.countdown]: current[nextFault.countdown] - 1 });
+    return { kind: nextFault.kind, at: current.cutAfterTokens };
 }
--- a/packages/standins/src/engine/touchPieces.ts
+++ b/packages/standins/src/engine/touchPieces.ts
@@ -1,8 +1,8 @@
 import type { PieceCache } from "./PieceCache.js";
 
 /**
- * Marks cached pieces as used now. The chain's last piece counts as used first, so that eviction takes a chain from its
- * end: a piece whose predecessors are gone could never be found again.
+ * Marks cached pieces as used now. A chain's last piece counts as the least recently used, so that eviction removes a
+ * chain from its end: a piece whose predecessors have been evicted could never be found again.
  */
 export function touchPieces(cache: PieceCache, pieces: readonly string[], now: number): PieceCache {
     const next = new Map(cache);
--- a/packages/standins/src/engine/usageOf.ts
+++ b/packages/standins/src/engine/usageOf.ts
@@ -1,4 +1,4 @@
-/** The `usage` of an OpenAI answer. */
+/** Field `usage` of an answer in the OpenAI format. */
 type Usage = {
     readonly prompt_tokens: number;
     readonly completion_tokens: number;
@@ -6,7 +6,7 @@
     readonly prompt_tokens_details: { readonly cached_tokens: number; };
 };
 
-/** Counts the tokens of an answer. */
+/** Creates the `usage` of an answer from its token counts. */
 export function usageOf(promptTokens: number, answerTokens: number, cachedTokens: number): Usage {
     return {
         prompt_tokens: promptTokens,
--- a/packages/standins/src/link/LinkFlags.ts
+++ b/packages/standins/src/link/LinkFlags.ts
@@ -4,7 +4,7 @@
 
 /** Flags of the link. */
 const LinkFlags = CommonFlags.extend({
-    /** Routes as `name=host:port`, one or more. */
+    /** Routes to open at the start, each as `name=host:port`. */
     route: z.union([z.string(), z.array(z.string())]).default([]).transform(value => [value].flat()),
 });
 type LinkFlags = z.infer<typeof LinkFlags>;
--- a/packages/standins/src/link/LinkSwitches.ts
+++ b/packages/standins/src/link/LinkSwitches.ts
@@ -1,12 +1,12 @@
 import { z } from "zod";
 
-/** Switches of the link, of all routes or of one. */
+/** Switches of the link, for all routes or for one. */
 const LinkSwitches = z.strictObject({
-    /** Open connections are destroyed, and new ones as soon as they come. */
+    /** Open connections are destroyed, and new ones as soon as they are accepted. */
     cut: z.boolean().default(false),
-    /** New connections are accepted, and nothing passes on any. */
+    /** Connections are accepted, but data is not forwarded on any of them. */
     blackhole: z.boolean().default(false),
-    /** Milliseconds by which everything is late, each way. */
+    /** Delay of all data in each direction. */
     delayMs: z.number().min(0).default(0),
 });
 type LinkSwitches = z.infer<typeof LinkSwitches>;
--- a/packages/standins/src/main.ts
+++ b/packages/standins/src/main.ts
@@ -12,14 +12,14 @@
 import { ServiceFlags } from "./service/ServiceFlags.js";
 import { startService } from "./service/startService.js";
 
-const BAD_FLAGS_EXIT_CODE = 2;
+const USAGE_EXIT_CODE = 2;
 
-/** What the ready line tells beside `"ready": true`. */
-type Started = { readonly url: string; readonly routes?: Readonly<Record<string, string>>; };
+/** What the ready line contains besides `"ready": true`. */
+type ReadyInfo = { readonly url: string; readonly routes?: Readonly<Record<string, string>>; };
 
-const fail = (message: string): never => {
+const exitWithError = (message: string): never => {
     console.error(`standin: ${message}`);
-    process.exit(BAD_FLAGS_EXIT_CODE);
+    process.exit(USAGE_EXIT_CODE);
 };
 
 const cli = cac("standin");
@@ -28,27 +28,29 @@
     name: string,
     description: string,
     schema: z.ZodType<Flags, z.ZodTypeDef, unknown> & { readonly shape: z.ZodRawShape; },
-    start: (flags: Flags) => Promise<Started>,
+    start: (flags: Flags) => Promise<ReadyInfo>,
 ): void => {
     const run = async (options: object): Promise<void> => {
         const given = Object.fromEntries(Object.entries(options).filter(([key]) => key !== "--"));
         const unknown = Object.keys(given).filter(key => !(key in schema.shape));
         if (unknown.length > 0) {
-            fail(`unknown flags: ${unknown.join(", ")}; known: ${Object.keys(schema.shape).join(", ")}`);
+            exitWithError(`unknown flags: ${unknown.join(", ")}; known: ${Object.keys(schema.shape).join(", ")}`);
         }
         const flags = schema.safeParse(given);
         if (!flags.success) {
-            return fail(flags.error.issues.map(issue => `${issue.path.join(".")}: ${issue.message}`).join("; "));
+            return exitWithError(
+                flags.error.issues.map(issue => `${issue.path.join(".")}: ${issue.message}`).join("; "),
+            );
         }
         const started = await start(flags.data);
         console.log(JSON.stringify({ ready: true, ...started }));
     };
     cli.command(name, description)
         .allowUnknownOptions()
-        .action((options: object) => run(options).catch((err: unknown) => fail(String(err))));
+        .action((options: object) => run(options).catch((err: unknown) => exitWithError(String(err))));
 };
 
-const withUrl = (url: Promise<string>): Promise<Started> => url.then(text => ({ url: text }));
+const withUrl = (url: Promise<string>): Promise<ReadyInfo> => url.then(text => ({ url: text }));
 
 addCommand("platform", "log, list of VMs, weight store", PlatformFlags, flags => withUrl(startPlatform(flags)));
 addCommand("engine", "model engine", EngineFlags, flags => withUrl(startEngine(flags)));
@@ -59,5 +61,5 @@
 cli.help();
 cli.parse();
 if (cli.matchedCommand === undefined && cli.options["help"] !== true) {
-    fail("name one of: platform, engine, service, cache, link");
+    exitWithError("no command given; use one of: platform, engine, service, cache, link");
 }
--- a/packages/standins/src/platform/AppendBudget.ts
+++ b/packages/standins/src/platform/AppendBudget.ts
@@ -1,4 +1,4 @@
-/** Appends that may still be made in the second that began at `since`. */
+/** Appends made in the one-second window that began at `since`. */
 export type AppendBudget = {
     readonly since: number;
     readonly used: number;
--- a/packages/standins/src/platform/PlatformSwitches.ts
+++ b/packages/standins/src/platform/PlatformSwitches.ts
@@ -5,26 +5,26 @@
 
 /** Switches of the platform. */
 const PlatformSwitches = z.strictObject({
-    /** Connections of calls are destroyed, and nothing takes effect. */
+    /** The connection of every call is destroyed without an answer, and no call takes effect. */
     down: z.boolean().default(false),
-    /** The same for single parts. */
+    /** Like `down`, for single parts. */
     downParts: z.array(Part).default([]),
-    /** Calls are read and never answered, and nothing takes effect. */
+    /** Calls are read but never answered, and no call takes effect. */
     hang: z.boolean().default(false),
-    /** Milliseconds that each call takes before it acts. */
+    /** Delay before each call takes effect. */
     latencyMs: z.number().min(0).default(0),
-    /** The next appends take effect, and their connections are destroyed instead of an answer. */
+    /** Number of next appends that take effect but whose connection is destroyed instead of answered. */
     loseAnswers: z.number().int().min(0).default(0),
-    /** Probability that any append's answer is lost in this way. */
+    /** Probability with which any other append loses its answer in the same way. */
     loseAnswerRate: z.number().min(0).max(1).default(0),
     retainCount: z.number().int().positive().default(100_000),
     retainMs: z.number().positive().default(3_600_000),
     appendsPerSecond: z.number().int().positive().default(400),
-    /** Age of the list of VMs that is given. */
+    /** Age of the VM list that is returned. */
     vmLagMs: z.number().min(0).default(0),
-    /** Milliseconds that one transfer of weights takes on its own. */
+    /** Duration of one transfer of weights when no other is in progress. */
     weightsMs: z.number().min(0).default(500),
-    /** Weights that the store does not have, as `model@version`. */
+    /** Weights that the weight store lacks, as `model@version`. */
     missingWeights: z.array(z.string()).default([]),
 });
 type PlatformSwitches = z.infer<typeof PlatformSwitches>;
--- a/packages/standins/src/platform/appendRecords.ts
+++ b/packages/standins/src/platform/appendRecords.ts
@@ -1,9 +1,9 @@
 import type { LogStream } from "./LogStream.js";
 
-/** What a writer appends. */
+/** A record as its writer sends it. */
 type NewRecord = { readonly id: string; readonly data?: unknown; };
 
-/** Appends records in order; the first one gets the offset that `end` names. */
+/** Appends records in order; the first one gets the offset `stream.end`. */
 export function appendRecords(stream: LogStream, added: readonly NewRecord[], at: number): LogStream {
     const records = added.map(({ id, data }, i) => ({ offset: stream.end + i, id, at, data }));
     return {
--- a/packages/standins/src/platform/expireRecords.ts
+++ b/packages/standins/src/platform/expireRecords.ts
@@ -1,13 +1,13 @@
 import type { LogStream } from "./LogStream.js";
 import type { Retention } from "./Retention.js";
 
-/** Drops the records that are older, or further back, than the retention allows. */
+/** Drops the records that exceed the retention by age or by count. */
 export function expireRecords(stream: LogStream, retention: Retention, now: number): LogStream {
-    const byCount = Math.max(stream.records.length - retention.count, 0);
+    const excessByCount = Math.max(stream.records.length - retention.count, 0);
     const oldestAt = now - retention.ageMs;
-    const firstYoung = stream.records.findIndex(record => record.at >= oldestAt);
-    const byAge = firstYoung < 0 ? stream.records.length : firstYoung;
-    const dropped = Math.max(byCount, byAge);
+    const firstInAge = stream.records.findIndex(record => record.at >= oldestAt);
+    const excessByAge = firstInAge < 0 ? stream.records.length : firstInAge;
+    const dropped = Math.max(excessByCount, excessByAge);
     return dropped === 0
         ? stream
         : { start: stream.start + dropped, end: stream.end, records: stream.records.slice(dropped) };
--- a/packages/standins/src/platform/guardPart.ts
+++ b/packages/standins/src/platform/injectPartFaults.ts
@@ -5,8 +5,8 @@
 import type { Switches } from "../common/Switches.js";
 import type { PlatformSwitches } from "./PlatformSwitches.js";
 
-/** Lets a route of one part of the platform fail as the switches say. */
-export function guardPart(
+/** Wraps a route of one part of the platform so that it fails or is delayed as the switches say. */
+export function injectPartFaults(
     part: PlatformSwitches["downParts"][number],
     switches: Switches<PlatformSwitches>,
     clock: Clock,
--- a/packages/standins/src/platform/logRoutes.ts
+++ b/packages/standins/src/platform/logRoutes.ts
@@ -9,12 +9,12 @@
 import type { Switches } from "../common/Switches.js";
 import type { AppendBudget } from "./AppendBudget.js";
 import { appendRecords } from "./appendRecords.js";
+import { consumeAppend } from "./consumeAppend.js";
 import { emptyStream } from "./emptyStream.js";
 import { expireRecords } from "./expireRecords.js";
 import type { LogStream } from "./LogStream.js";
 import type { PlatformSwitches } from "./PlatformSwitches.js";
 import { readRecords } from "./readRecords.js";
-import { spendAppend } from "./spendAppend.js";
 
 const DEFAULT_LIMIT = 1_000;
 const MAX_WAIT_MS = 30_000;
@@ -28,30 +28,30 @@
     waitMs: z.coerce.number().min(0).max(MAX_WAIT_MS).default(0),
 });
 
-/** What the log needs beside its own state. */
+/** Dependencies of the log. */
 type LogContext = {
     readonly clock: Clock;
     readonly random: () => number;
     readonly switches: Switches<PlatformSwitches>;
 };
 
-/** The routes of the append-only log. */
+/** Creates the routes of the append-only log. */
 export function logRoutes({ clock, random, switches }: LogContext): readonly Route[] {
     const streams = new Map<string, LogStream>();
     const waiters = new Map<string, Set<() => void>>();
     let budget: AppendBudget = { since: 0, used: 0 };
 
-    const stream = (name: string): LogStream => {
+    const currentStream = (name: string): LogStream => {
         const { retainCount, retainMs } = switches.current();
         const retention = { count: retainCount, ageMs: retainMs };
         return expireRecords(streams.get(name) ?? emptyStream, retention, clock.now());
     };
-    const wake = (name: string): void => {
+    const wakeReaders = (name: string): void => {
         const waiting = [...waiters.get(name) ?? []];
         waiters.delete(name);
         waiting.forEach(resume => resume());
     };
-    const losesAnswer = (): boolean => {
+    const takeAnswerLoss = (): boolean => {
         const { loseAnswers, loseAnswerRate } = switches.current();
         if (loseAnswers > 0) {
             switches.update({ loseAnswers: loseAnswers - 1 });
@@ -62,15 +62,15 @@
     const append = async ({ req, res, params }: HttpRequest): Promise<void> => {
         const name = params[0] ?? "";
         const { records } = await readJson(req, AppendBody);
-        const spent = spendAppend(budget, switches.current().appendsPerSecond, clock.now());
-        if (spent === undefined) {
+        const nextBudget = consumeAppend(budget, switches.current().appendsPerSecond, clock.now());
+        if (nextBudget === undefined) {
             throw new HttpError(429, "Too many appends in this second.", { "retry-after": "1" });
         }
-        budget = spent;
-        const before = stream(name);
+        budget = nextBudget;
+        const before = currentStream(name);
         streams.set(name, appendRecords(before, records, Math.floor(clock.now())));
-        wake(name);
-        if (losesAnswer()) {
+        wakeReaders(name);
+        if (takeAnswerLoss()) {
             req.socket.destroy();
             return;
         }
@@ -96,14 +96,14 @@
             throw new HttpError(400, query.error.issues.map(issue => issue.message).join("; "));
         }
         const { from, limit, waitMs } = query.data;
-        if (from >= stream(name).end && waitMs > 0) {
+        if (from >= currentStream(name).end && waitMs > 0) {
             await waitForAppend(name, waitMs, request);
         }
-        const { start, end } = stream(name);
+        const { start, end } = currentStream(name);
         if (from < start) {
             throw new HttpError(410, "These records are no longer kept.", {}, { start, end });
         }
-        sendJson(request.res, 200, { start, end, records: readRecords(stream(name), from, limit) });
+        sendJson(request.res, 200, { start, end, records: readRecords(currentStream(name), from, limit) });
     };
     return [
         { method: "POST", pattern: /^\/log\/([^/]+)$/, handle: append },
--- a/packages/standins/src/platform/readRecords.ts
+++ b/packages/standins/src/platform/readRecords.ts
@@ -1,6 +1,6 @@
 import type { LogRecord, LogStream } from "./LogStream.js";
 
-/** Records from an offset on, at most `limit` of them. */
+/** Returns the records from an offset on, at most `limit` of them. */
 export function readRecords(stream: LogStream, from: number, limit: number): readonly LogRecord[] {
     const first = Math.max(from - stream.start, 0);
     return stream.records.slice(first, first + limit);
--- a/packages/standins/src/platform/reserveTransfer.ts
+++ b/packages/standins/src/platform/reserveTransfer.ts
@@ -1,11 +1,12 @@
-/** The weight store's line: one transfer at a time has the whole bandwidth. */
+/** A transfer in the weight store's queue: one transfer at a time uses the whole bandwidth. */
 type Transfer = {
+    /** When the queue is empty again, in milliseconds since the epoch. */
     readonly busyUntil: number;
     /** Milliseconds from now until this transfer is complete. */
     readonly waitMs: number;
 };
 
-/** Puts a transfer at the end of the line. */
+/** Adds a transfer to the end of the queue. */
 export function reserveTransfer(busyUntil: number, durationMs: number, now: number): Transfer {
     const end = Math.max(busyUntil, now) + durationMs;
     return { busyUntil: end, waitMs: end - now };
--- a/packages/standins/src/platform/startPlatform.ts
+++ b/packages/standins/src/platform/startPlatform.ts
@@ -4,7 +4,7 @@
 import { sendJson } from "../common/sendJson.js";
 import { serve } from "../common/serve.js";
 import { systemClock } from "../common/systemClock.js";
-import { guardPart } from "./guardPart.js";
+import { injectPartFaults } from "./injectPartFaults.js";
 import { logRoutes } from "./logRoutes.js";
 import type { PlatformFlags } from "./PlatformFlags.js";
 import { PlatformSwitches } from "./PlatformSwitches.js";
@@ -33,10 +33,10 @@
         switches,
         routes: [
             health,
-            ...logRoutes({ clock, random, switches }).map(route => guardPart("log", switches, clock, route)),
-            guardPart("vms", switches, clock, vms.read),
-            guardPart("weights", switches, clock, weightRoute(clock, switches)),
-            ...vms.declare,
+            ...logRoutes({ clock, random, switches }).map(route => injectPartFaults("log", switches, clock, route)),
+            injectPartFaults("vms", switches, clock, vms.read),
+            injectPartFaults("weights", switches, clock, weightRoute(clock, switches)),
+            ...vms.edit,
         ],
     });
 }
--- a/packages/standins/src/platform/vmRoutes.ts
+++ b/packages/standins/src/platform/vmRoutes.ts
@@ -20,15 +20,15 @@
 
 const VM_PATH = /^\/vms\/([^/]+)$/;
 
-/** Routes of the list of VMs: `read` for daemons, `declare` for the harness that stands for the machine provider. */
-type VmRoutes = { readonly read: Route; readonly declare: readonly Route[]; };
+/** Routes of the VM list: `read` for daemons, `edit` for the test harness, which acts as the machine provider. */
+type VmRoutes = { readonly read: Route; readonly edit: readonly Route[]; };
 
-/** Creates the routes of the list of VMs, which lags by a switch. */
+/** Creates the routes of the VM list. Reads return the list as it was `vmLagMs` ago. */
 export function vmRoutes(clock: Clock, switches: Switches<PlatformSwitches>): VmRoutes {
     let vms: readonly Vm[] = [];
     let samples: readonly Sample<readonly Vm[]>[] = [{ at: 0, value: [] }];
 
-    const change = (next: readonly Vm[]): void => {
+    const setVms = (next: readonly Vm[]): void => {
         vms = next;
         const now = clock.now();
         samples = addSample(samples, { at: now, value: next }, now - switches.current().vmLagMs);
@@ -40,14 +40,14 @@
             handle: ({ res }) =>
                 sendJson(res, 200, { vms: sampleAt(samples, clock.now() - switches.current().vmLagMs) ?? [] }),
         },
-        declare: [
+        edit: [
             {
                 method: "PUT",
                 pattern: VM_PATH,
                 handle: async ({ req, res, params }) => {
                     const vm = params[0] ?? "";
                     const body = await readJson(req, VmBody);
-                    change([...vms.filter(other => other.vm !== vm), { vm, ...body }]);
+                    setVms([...vms.filter(other => other.vm !== vm), { vm, ...body }]);
                     sendJson(res, 200, { vms });
                 },
             },
@@ -55,7 +55,7 @@
                 method: "DELETE",
                 pattern: VM_PATH,
                 handle: ({ res, params }) => {
-                    change(vms.filter(other => other.vm !== params[0]));
+                    setVms(vms.filter(other => other.vm !== params[0]));
                     sendJson(res, 200, { vms });
                 },
             },
--- a/packages/standins/src/platform/weightRoute.ts
+++ b/packages/standins/src/platform/weightRoute.ts
@@ -7,7 +7,7 @@
 import type { PlatformSwitches } from "./PlatformSwitches.js";
 import { reserveTransfer } from "./reserveTransfer.js";
 
-/** The route of the weight store. Its answer comes when the transfer would be complete; the body is only a label. */
+/** Creates the weight store's route. It answers when the transfer would have ended; the body only names the weights. */
 export function weightRoute(clock: Clock, switches: Switches<PlatformSwitches>): Route {
     let busyUntil = 0;
     return {
--- a/packages/standins/src/service/startService.ts
+++ b/packages/standins/src/service/startService.ts
@@ -12,13 +12,13 @@
 import type { ServiceRun } from "./ServiceRun.js";
 import { ServiceSwitches } from "./ServiceSwitches.js";
 
-/** What a call is answered with; kept so that the next answer can be crossed with it. */
+/** Answer to a call. It is kept because the switch `crossAnswers` sends it as the answer to the next call. */
 type ServiceAnswer = { readonly dispatchId: string; readonly body: object; };
 
 type Countdown = "loseAnswers" | "refuse" | "fail" | "crossAnswers";
 
 /**
- * Starts a plain service that takes any call, runs it as often as it comes, and counts.
+ * Starts a plain service that accepts any call, runs it each time it arrives, and numbers its runs.
  *
  * @returns the base URL
  */
@@ -26,20 +26,20 @@
     const switches = createSwitches(ServiceSwitches);
     switches.update({ delayMs: flags.delayMs, crashOn: flags.crashOn });
     const history = openHistory<ServiceRun>(flags.history);
-    let previous: ServiceAnswer | undefined;
+    let previousAnswer: ServiceAnswer | undefined;
 
-    const take = (countdown: Countdown): boolean => {
+    const takeCountdown = (countdown: Countdown): boolean => {
         const left = switches.current()[countdown];
         if (left > 0) {
             switches.update({ [countdown]: left - 1 });
         }
         return left > 0;
     };
-    const crashes = (path: string, body: string): boolean => {
+    const isCrashing = (path: string, body: string): boolean => {
         const { crashOn } = switches.current();
         return crashOn !== "" && (path.includes(crashOn) || body.includes(crashOn));
     };
-    const record = ({ req, method, path }: HttpRequest): ServiceRun => {
+    const recordRun = ({ req, method, path }: HttpRequest): ServiceRun => {
         const run: ServiceRun = {
             method,
             path,
@@ -54,31 +54,31 @@
     const call = async (request: HttpRequest): Promise<void> => {
         const { req, res } = request;
         const body = (await readBody(req)).toString("utf8");
-        if (take("refuse")) {
+        if (takeCountdown("refuse")) {
             throw new HttpError(503, "Refused before running.", { "x-not-run": "1" });
         }
-        const run = record(request);
-        if (crashes(run.path, body)) {
+        const run = recordRun(request);
+        if (isCrashing(run.path, body)) {
             process.exit(1);
         }
         await sleep(systemClock, switches.current().delayMs);
         if (switches.current().hang) {
             return;
         }
-        if (take("loseAnswers")) {
+        if (takeCountdown("loseAnswers")) {
             req.socket.destroy();
             return;
         }
-        if (take("fail")) {
+        if (takeCountdown("fail")) {
             throw new HttpError(500, "Failed while running.", { "x-dispatch-id": run.dispatchId ?? "" });
         }
-        const own: ServiceAnswer = {
+        const ownAnswer: ServiceAnswer = {
             dispatchId: run.dispatchId ?? "",
             body: { service: flags.name, method: run.method, path: run.path, run: history.entries().length },
         };
-        const sent = take("crossAnswers") ? previous ?? own : own;
-        previous = own;
-        sendJson(res, 200, sent.body, { "x-dispatch-id": sent.dispatchId });
+        const sentAnswer = takeCountdown("crossAnswers") ? previousAnswer ?? ownAnswer : ownAnswer;
+        previousAnswer = ownAnswer;
+        sendJson(res, 200, sentAnswer.body, { "x-dispatch-id": sentAnswer.dispatchId });
     };
 
     return serve({
