--- a/packages/bench/src/analysis/Spending.ts
+++ b/packages/bench/src/analysis/AllowanceRequest.ts
@@ -1,9 +1,9 @@
-/** One request as the ideal allowance sees it. */
-export type Spending = {
+/** One request as seen by an ideal allowance. */
+export type AllowanceRequest = {
     readonly organisation: string;
     /** Milliseconds from the start of the run. */
     readonly at: number;
-    /** Tokens charged for it. */
+    /** Tokens charged for the request if it is accepted. */
     readonly cost: number;
     readonly accepted: boolean;
 };
--- a/packages/bench/src/analysis/EngineHistory.ts
+++ b/packages/bench/src/analysis/EngineHistory.ts
@@ -1,6 +1,6 @@
 import type { EngineEntry } from "@azureshunt/standins";
 
-/** The history of one engine. */
+/** History entries of one engine, oldest first. */
 export type EngineHistory = {
     readonly engine: string;
     readonly entries: readonly EngineEntry[];
--- a/packages/bench/src/analysis/PhaseFigures.ts
+++ b/packages/bench/src/analysis/PhaseFigures.ts
@@ -1,36 +1,35 @@
 import type { Percentiles } from "./Percentiles.js";
 
-/** How one organisation fared in a phase. */
+/** Results of one organisation in a phase. */
 type OrganisationFigures = {
     readonly organisation: string;
     readonly offered: number;
     readonly complete: number;
-    /** Complete requests as a part of those that its rate and burst allowed. */
+    /** Complete requests as a fraction of those that its rate and burst allowed. */
     readonly servedPart: number;
     readonly firstToken: Percentiles;
 };
 
-/** The figures of one phase of a run. */
 type PhaseFigures = {
     readonly phase: string;
     readonly requests: number;
     readonly complete: number;
     readonly refused: number;
-    /** Refused though due: what one ideal allowance an organisation would have accepted, less what was. */
+    /** Wrongful refusals: requests that an ideal allowance per organisation would have accepted, less those accepted. */
     readonly wrongful: number;
-    /** Refused as strictness demands while something is out of reach; counted apart from the wrongful ones. */
+    /** Refused because something that strict limits depend on was unreachable; not counted in `wrongful`. */
     readonly unavoidable: number;
-    /** Refusals by the code of their error. */
+    /** Refusals by error code. */
     readonly refusedBy: Readonly<Record<string, number>>;
-    /** Neither complete nor truthfully refused as not run. */
+    /** Neither complete nor refused with the statement that the request has not run. */
     readonly broken: number;
     /** From the intended time to the first token. */
     readonly firstToken: Percentiles;
-    /** Part of all prompt tokens that was found in the cache of the engine chosen. */
+    /** Fraction of all prompt tokens found in the cache of the chosen engine. */
     readonly hitRate: number;
     /** The same for an oracle that knows every cache. */
     readonly oracleHitRate: number;
-    /** Tokens computed though a live engine held them. */
+    /** Tokens prefilled although a live engine had them cached. */
     readonly recomputedTokens: number;
     readonly organisations: readonly OrganisationFigures[];
 };
--- a/packages/bench/src/analysis/countDoubledBookings.ts
+++ b/packages/bench/src/analysis/countDoubledBookings.ts
@@ -1,6 +1,6 @@
 import type { ServiceRun } from "@azureshunt/standins";
 
-/** Counts idempotency keys that ran more than once, over all replicas of a service. */
+/** Counts repeated runs of idempotency keys over all replicas of a service. */
 export function countDoubledBookings(runs: readonly ServiceRun[]): number {
     const keys = runs.flatMap(({ organisation, idempotencyKey }) =>
         idempotencyKey === undefined ? [] : [`${organisation} ${idempotencyKey}`]
--- a/packages/bench/src/analysis/figuresOfPhase.ts
+++ b/packages/bench/src/analysis/figuresOfPhase.ts
@@ -1,33 +1,36 @@
 import type { Outcome } from "../load/Outcome.js";
 import { allowanceOf } from "../workload/allowanceOf.js";
 import { costOf } from "../workload/costOf.js";
-import { acceptWithin } from "./acceptWithin.js";
-import type { Allowed } from "./Allowed.js";
+import { acceptWithinAllowance } from "./acceptWithinAllowance.js";
+import type { Allowance } from "./Allowance.js";
+import type { AllowanceRequest } from "./AllowanceRequest.js";
 import type { CacheUse } from "./CacheUse.js";
-import { countWithheld } from "./countWithheld.js";
+import { countWrongfulRefusals } from "./countWrongfulRefusals.js";
 import { percentilesOf } from "./percentilesOf.js";
 import type { OrganisationFigures, PhaseFigures } from "./PhaseFigures.js";
 import type { RunRecord } from "./RunRecord.js";
-import type { Spending } from "./Spending.js";
 
 const MS_PER_SECOND = 1_000;
 
 const isRefusal = ({ status, ran }: Outcome): boolean => status >= 400 && ran === "no";
 
-/** Without the log no intent can be recorded, and without other VMs no grant be had; running all the same would be worse. */
+/**
+ * Refusals that a correct daemon cannot avoid: without the log it cannot record intents, and without other VMs it gets no
+ * grants. Running the request regardless would be worse.
+ */
 const UNAVOIDABLE_CODES: readonly string[] = ["log-unavailable", "intent-window-lost", "allowance-unreachable"];
 
 const isUnavoidable = (outcome: Outcome): boolean =>
     isRefusal(outcome) && UNAVOIDABLE_CODES.includes(outcome.errorCode ?? "");
 
-const countByCode = (refusals: readonly Outcome[]): Readonly<Record<string, number>> => {
+const countByErrorCode = (refusals: readonly Outcome[]): Readonly<Record<string, number>> => {
     const codes = refusals.map(({ errorCode }) => errorCode ?? "unknown");
-    return Object.fromEntries([...new Set(codes)].map(code => [code, codes.filter(one => one === code).length]));
+    return Object.fromEntries([...new Set(codes)].map(code => [code, codes.filter(other => other === code).length]));
 };
 
 const isBroken = (outcome: Outcome): boolean => !outcome.complete && !isRefusal(outcome);
 
-const firstTokens = (outcomes: readonly Outcome[]): readonly number[] =>
+const firstTokenTimes = (outcomes: readonly Outcome[]): readonly number[] =>
     outcomes
         .filter(({ arrival }) => arrival.kind === "long" || arrival.kind === "short")
         .flatMap(({ firstMs }) => firstMs === undefined ? [] : [firstMs]);
@@ -35,9 +38,9 @@
 const sumOf = (uses: readonly CacheUse[], pick: (use: CacheUse) => number): number =>
     uses.reduce((sum, use) => sum + pick(use), 0);
 
-const part = (of: number, whole: number): number => whole === 0 ? 1 : of / whole;
+const ratio = (part: number, whole: number): number => whole === 0 ? 1 : part / whole;
 
-/** Makes the figures of one phase of a run. */
+/** Computes the figures of one phase of a run. */
 export function figuresOfPhase(run: RunRecord, phaseIndex: number): PhaseFigures {
     const { workload, phases } = run;
     const phase = phases[phaseIndex];
@@ -45,32 +48,35 @@
     const until = from + (phase?.seconds ?? 0) * MS_PER_SECOND;
     const outcomes = run.outcomes.filter(({ arrival }) => arrival.at >= from && arrival.at < until);
     const uses = run.cacheUses.filter(({ at }) => at - run.startedAt >= from && at - run.startedAt < until);
-    const allowed: readonly Allowed[] = workload.organisations.map(({ id, share }) => ({
+    const allowances: readonly Allowance[] = workload.organisations.map(({ id, share }) => ({
         organisation: id,
         ...allowanceOf(workload, share),
-        atStart: 0,
+        initialTokens: 0,
     }));
-    const offered = run.outcomes.filter(outcome => outcome.arrival.at < until && !isUnavoidable(outcome));
-    const spendings: readonly Spending[] = offered.map(outcome => ({
+    const countedOutcomes = run.outcomes.filter(outcome => outcome.arrival.at < until && !isUnavoidable(outcome));
+    const allowanceRequests: readonly AllowanceRequest[] = countedOutcomes.map(outcome => ({
         organisation: outcome.arrival.organisation,
         at: outcome.arrival.at,
         cost: costOf(workload, outcome.arrival.kind),
         accepted: !isRefusal(outcome),
     }));
-    const spentBy = ({ organisation }: Allowed): readonly Spending[] =>
-        spendings.filter(spending => spending.organisation === organisation);
-    const wrongful = allowed.reduce((sum, one) => sum + countWithheld(one, spentBy(one), from), 0);
+    const requestsOf = ({ organisation }: Allowance): readonly AllowanceRequest[] =>
+        allowanceRequests.filter(request => request.organisation === organisation);
+    const wrongful = allowances.reduce(
+        (sum, allowance) => sum + countWrongfulRefusals(allowance, requestsOf(allowance), from),
+        0,
+    );
 
-    const ofOrganisation = (one: Allowed): OrganisationFigures => {
-        const own = outcomes.filter(({ arrival }) => arrival.organisation === one.organisation);
-        const due = acceptWithin(one, spentBy(one)).filter(({ at }) => at >= from).length;
-        const complete = own.filter(outcome => outcome.complete).length;
+    const figuresOfOrganisation = (allowance: Allowance): OrganisationFigures => {
+        const ownOutcomes = outcomes.filter(({ arrival }) => arrival.organisation === allowance.organisation);
+        const expected = acceptWithinAllowance(allowance, requestsOf(allowance)).filter(({ at }) => at >= from).length;
+        const complete = ownOutcomes.filter(outcome => outcome.complete).length;
         return {
-            organisation: one.organisation,
-            offered: own.length,
+            organisation: allowance.organisation,
+            offered: ownOutcomes.length,
             complete,
-            servedPart: part(complete, due),
-            firstToken: percentilesOf(firstTokens(own)),
+            servedPart: ratio(complete, expected),
+            firstToken: percentilesOf(firstTokenTimes(ownOutcomes)),
         };
     };
     const promptTokens = sumOf(uses, use => use.promptTokens);
@@ -81,12 +87,12 @@
         refused: outcomes.filter(isRefusal).length,
         wrongful,
         unavoidable: outcomes.filter(isUnavoidable).length,
-        refusedBy: countByCode(outcomes.filter(isRefusal)),
+        refusedBy: countByErrorCode(outcomes.filter(isRefusal)),
         broken: outcomes.filter(isBroken).length,
-        firstToken: percentilesOf(firstTokens(outcomes)),
-        hitRate: part(sumOf(uses, use => use.cachedTokens), promptTokens),
-        oracleHitRate: part(sumOf(uses, use => use.oracleTokens), promptTokens),
+        firstToken: percentilesOf(firstTokenTimes(outcomes)),
+        hitRate: ratio(sumOf(uses, use => use.cachedTokens), promptTokens),
+        oracleHitRate: ratio(sumOf(uses, use => use.oracleTokens), promptTokens),
         recomputedTokens: sumOf(uses, use => Math.max(use.oracleTokens - use.cachedTokens, 0)),
-        organisations: allowed.map(ofOrganisation),
+        organisations: allowances.map(figuresOfOrganisation),
     };
 }
--- a/packages/bench/src/analysis/readEngineHistories.ts
+++ b/packages/bench/src/analysis/readEngineHistories.ts
@@ -4,10 +4,10 @@
 
 import type { EngineHistory } from "./EngineHistory.js";
 
-/** An engine and the file that it writes its history to. */
+/** History file written by an engine. */
 type HistoryFile = { readonly engine: string; readonly file: string; };
 
-/** Reads the histories of engines from their files, of those that died too. A last line cut by a death is left out. */
+/** Reads engine histories from files, also those of engines that died. A last line cut off by a death is left out. */
 export function readEngineHistories(files: readonly HistoryFile[]): readonly EngineHistory[] {
     return files.map(({ engine, file }) => ({
         engine,
--- a/packages/bench/src/analysis/replayCaches.ts
+++ b/packages/bench/src/analysis/replayCaches.ts
@@ -3,27 +3,28 @@
 import type { CacheUse } from "./CacheUse.js";
 import type { EngineHistory } from "./EngineHistory.js";
 
-type Located = { readonly engine: string; readonly entry: EngineEntry; };
+type EngineEvent = { readonly engine: string; readonly entry: EngineEntry; };
 
-const cachedPieces = (held: ReadonlySet<string>, pieces: readonly string[]): number => {
-    const firstMiss = pieces.findIndex(piece => !held.has(piece));
+const countCachedPieces = (cache: ReadonlySet<string>, pieces: readonly string[]): number => {
+    const firstMiss = pieces.findIndex(piece => !cache.has(piece));
     return firstMiss < 0 ? pieces.length : firstMiss;
 };
 
 /**
- * Replays the true caches of all engines in the order of time, and compares each run with what the best engine held at
- * that moment. The prompt's last token is always computed, in the oracle's answer too.
+ * Replays the cache changes of all engines in the order of time and compares each run with the largest prefix that any
+ * engine had cached at that moment. A prompt's last token is always computed, so the oracle does not count it as cached
+ * either.
  */
 export function replayCaches(histories: readonly EngineHistory[], pieceTokens: number): readonly CacheUse[] {
-    const held = new Map<string, Set<string>>(histories.map(({ engine }) => [engine, new Set<string>()]));
-    const inOrder: readonly Located[] = histories
+    const cacheByEngine = new Map<string, Set<string>>(histories.map(({ engine }) => [engine, new Set<string>()]));
+    const eventsByTime: readonly EngineEvent[] = histories
         .flatMap(({ engine, entries }) => entries.map(entry => ({ engine, entry })))
         .toSorted((a, b) => a.entry.at - b.entry.at);
-    const apply = ({ engine, entry }: Located): readonly CacheUse[] => {
-        const cache = held.get(engine) ?? new Set();
+    const apply = ({ engine, entry }: EngineEvent): readonly CacheUse[] => {
+        const cache = cacheByEngine.get(engine) ?? new Set();
         switch (entry.kind) {
             case "start":
-                held.set(engine, new Set());
+                cacheByEngine.set(engine, new Set());
                 return [];
             case "cache":
                 entry.stored.forEach(piece => cache.add(piece));
@@ -32,12 +33,14 @@
             case "end":
                 return [];
             case "run": {
-                const best = Math.max(...[...held.values()].map(pieces => cachedPieces(pieces, entry.pieces)));
+                const best = Math.max(
+                    ...[...cacheByEngine.values()].map(pieces => countCachedPieces(pieces, entry.pieces)),
+                );
                 const oracleTokens = Math.min(best * pieceTokens, entry.promptTokens - 1);
                 const { at, dispatchId, promptTokens, cachedTokens } = entry;
                 return [{ at, dispatchId, promptTokens, cachedTokens, oracleTokens }];
             }
         }
     };
-    return inOrder.flatMap(apply);
+    return eventsByTime.flatMap(apply);
 }
--- a/packages/bench/src/analysis/shiftRecovery.ts
+++ b/packages/bench/src/analysis/shiftRecovery.ts
@@ -1,7 +1,7 @@
 import type { CacheUse } from "./CacheUse.js";
 
 const MS_PER_SECOND = 1_000;
-const RECOVERED_PART = 0.9;
+const RECOVERED_FRACTION = 0.9;
 
 const hitRateOf = (uses: readonly CacheUse[]): number | undefined => {
     const prompt = uses.reduce((sum, use) => sum + use.promptTokens, 0);
@@ -10,11 +10,11 @@
 };
 
 /**
- * Finds how long the hit rate took to come back after the hot prefixes shifted, in steps of a second.
+ * Returns the time until the hit rate recovered after the hot prefixes shifted, in whole seconds.
  *
- * @param uses runs from the shift on
+ * @param uses runs since the shift
  * @param shiftedAt milliseconds since the epoch
- * @returns the end of the first second whose hit rate was back; undefined when none was
+ * @returns the end of the first second with a recovered hit rate; `undefined` if there is none
  */
 export function shiftRecovery(
     uses: readonly CacheUse[],
@@ -23,10 +23,10 @@
 ): number | undefined {
     const last = Math.max(...uses.map(({ at }) => at), shiftedAt);
     const seconds = Math.ceil((last - shiftedAt) / MS_PER_SECOND);
-    const back = Array.from({ length: seconds }, (_, i) => i).find(second => {
+    const recovered = Array.from({ length: seconds }, (_, i) => i).find(second => {
         const from = shiftedAt + second * MS_PER_SECOND;
         const rate = hitRateOf(uses.filter(({ at }) => at >= from && at < from + MS_PER_SECOND));
-        return rate !== undefined && rate >= RECOVERED_PART * steadyHitRate;
+        return rate !== undefined && rate >= RECOVERED_FRACTION * steadyHitRate;
     });
-    return back === undefined ? undefined : back + 1;
+    return recovered === undefined ? undefined : recovered + 1;
 }
