--- a/packages/bench/src/checkHistory/HistoryOutcome.ts
+++ b/packages/bench/src/checkHistory/HistoryOutcome.ts
@@ -1,11 +1,11 @@
-/** What one caller was told. */
+/** Outcome of one request as seen by its caller. */
 export type HistoryOutcome = {
     readonly vm: string;
     readonly at: number;
-    /** HTTP status; undefined when the connection broke. */
+    /** HTTP status; `undefined` if the connection broke. */
     readonly status: number | undefined;
-    /** Kind of error, where there was one. */
+    /** Error code; `undefined` if there was no error or it had none. */
     readonly code: string | undefined;
-    /** Milliseconds until the answer. */
-    readonly tookMs: number;
+    /** Time from sending to the whole answer. */
+    readonly latencyMs: number;
 };
--- a/packages/bench/src/checkHistory/injectFaults.ts
+++ b/packages/bench/src/checkHistory/injectFaults.ts
@@ -5,12 +5,13 @@
 import type { Topology } from "../topology/Topology.js";
 import type { FaultKind } from "./FaultKind.js";
 
-const EVERY_MS = 1_500;
-const SHORT_MS = 1_000;
-const PAUSE_MS = 3_000;
-const REPLACED_MS = 4_000;
+const FAULT_INTERVAL_MS = 1_500;
+const MAX_RESTART_DELAY_MS = 1_000;
+/** Length of a platform outage, and longest suspension of a daemon. */
+const OUTAGE_MS = 3_000;
+const REPLACEMENT_DELAY_MS = 4_000;
 
-const declare = (topology: Topology, daemon: DaemonProcess) =>
+const declareVm = (topology: Topology, daemon: DaemonProcess) =>
     callHttp({
         method: "PUT",
         url: `${topology.platform.url}/vms/${daemon.vm}`,
@@ -23,7 +24,7 @@
         },
     });
 
-/** Kills the daemon of a VM and starts it again, after it was replaced on the platform's list or not. */
+/** Kills a daemon and restarts it; if `replaced`, it is removed from the platform's VM list in the meantime. */
 const restart = async (topology: Topology, daemon: DaemonProcess, replaced: boolean, random: () => number) => {
     const running = daemon.process();
     running.signal("SIGKILL");
@@ -31,10 +32,10 @@
     if (replaced) {
         await callHttp({ method: "DELETE", url: `${topology.platform.url}/vms/${daemon.vm}` });
     }
-    await delay(replaced ? REPLACED_MS : SHORT_MS * random());
+    await delay(replaced ? REPLACEMENT_DELAY_MS : MAX_RESTART_DELAY_MS * random());
     daemon.restart();
     if (replaced) {
-        await declare(topology, daemon);
+        await declareVm(topology, daemon);
     }
 };
 
@@ -45,24 +46,25 @@
     daemon.restart();
 };
 
-const pause = async (daemon: DaemonProcess, random: () => number): Promise<void> => {
+const suspend = async (daemon: DaemonProcess, random: () => number): Promise<void> => {
     daemon.process().signal("SIGSTOP");
-    await delay(PAUSE_MS * random());
+    await delay(OUTAGE_MS * random());
     daemon.process().signal("SIGCONT");
 };
 
-const silencePlatform = async (topology: Topology): Promise<void> => {
+const takePlatformDown = async (topology: Topology): Promise<void> => {
     const control = (body: object) => callHttp({ method: "POST", url: `${topology.platform.url}/control`, body });
     await control({ down: true });
-    await delay(PAUSE_MS);
+    await delay(OUTAGE_MS);
     await control({ down: false });
 };
 
 /**
- * Brings about faults at a fixed pace, one daemon at a time for each, until the time is over; all are ended then.
+ * Injects faults at a fixed interval for a given time, at most one at a time per daemon (or the platform), and waits
+ * until all of them are over.
  *
- * @param random seeded, so that a run can be repeated
- * @returns what was done, a line for each
+ * @param random seeded generator, so that a run can be repeated
+ * @returns a description of each fault
  */
 export async function injectFaults(
     topology: Topology,
@@ -70,10 +72,10 @@
     lengthMs: number,
     random: () => number,
 ): Promise<readonly string[]> {
-    const done: string[] = [];
-    const busy = new Set<string>();
+    const descriptions: string[] = [];
+    const faultyTargets = new Set<string>();
     const running: Promise<void>[] = [];
-    const begun = performance.now();
+    const startedAt = performance.now();
 
     const inject = async (kind: FaultKind, daemon: DaemonProcess): Promise<void> => {
         switch (kind) {
@@ -82,29 +84,29 @@
             case "replace":
                 return await restart(topology, daemon, true, random);
             case "pause":
-                return await pause(daemon, random);
+                return await suspend(daemon, random);
             case "leave":
                 return await leave(daemon);
             case "platform":
-                return await silencePlatform(topology);
+                return await takePlatformDown(topology);
         }
     };
-    const next = async (): Promise<void> => {
-        if (kinds.length === 0 || performance.now() - begun >= lengthMs) {
+    const injectNext = async (): Promise<void> => {
+        if (kinds.length === 0 || performance.now() - startedAt >= lengthMs) {
             return;
         }
         const kind = kinds[Math.floor(random() * kinds.length)] ?? "pause";
         const daemon = topology.daemons[Math.floor(random() * topology.daemons.length)];
-        const key = kind === "platform" ? "platform" : daemon?.vm ?? "";
-        if (daemon !== undefined && !busy.has(key)) {
-            busy.add(key);
-            done.push(`${Math.round(performance.now() - begun)} ms: ${kind} ${key}`);
-            running.push(inject(kind, daemon).finally(() => busy.delete(key)));
+        const target = kind === "platform" ? "platform" : daemon?.vm ?? "";
+        if (daemon !== undefined && !faultyTargets.has(target)) {
+            faultyTargets.add(target);
+            descriptions.push(`${Math.round(performance.now() - startedAt)} ms: ${kind} ${target}`);
+            running.push(inject(kind, daemon).finally(() => faultyTargets.delete(target)));
         }
-        await delay(EVERY_MS);
-        await next();
+        await delay(FAULT_INTERVAL_MS);
+        await injectNext();
     };
-    await next();
+    await injectNext();
     await Promise.all(running);
-    return done;
+    return descriptions;
 }
--- a/packages/bench/src/checkHistory/main.ts
+++ b/packages/bench/src/checkHistory/main.ts
@@ -15,22 +15,22 @@
 import type { HistoryOutcome } from "./HistoryOutcome.js";
 import { injectFaults } from "./injectFaults.js";
 import { readModelRuns } from "./readModelRuns.js";
-import { sendSteadily } from "./sendSteadily.js";
+import { sendPoissonLoad } from "./sendPoissonLoad.js";
 
 const OUTPUT_TOKENS = 4;
 const MAX_PROMPT_TOKENS = 1_500;
 const SETTLE_MS = 1_500;
-/** An engine notes a run a little after the daemon has charged it: longest time between the two that is put up with. */
-const CHARGE_TO_RUN_MS = 250;
+/** Longest tolerated time from the daemon's charge for a request until the engine records its run. */
+const MAX_CHARGE_TO_RUN_MS = 250;
 const EXIT_USAGE = 2;
-const KINDS = ["restart", "replace", "pause", "leave", "platform"] as const;
+const FAULT_KINDS = ["restart", "replace", "pause", "leave", "platform"] as const;
 
 const Options = z.object({
     seed: z.number().int().default(1),
     faults: z.string().default("none").transform(list => list === "none" ? [] : list.split(","))
-        .pipe(z.array(z.enum(KINDS))),
+        .pipe(z.array(z.enum(FAULT_KINDS))),
     seconds: z.number().positive().default(20),
-    /** Tokens asked for as a multiple of the organisation's rate. */
+    /** Requested tokens as a multiple of the organisation's rate. */
     demand: z.number().positive().default(0.6),
 });
 type Options = z.infer<typeof Options>;
@@ -41,7 +41,7 @@
         return { ...counts, [name]: (counts[name] ?? 0) + 1 };
     }, {});
 
-const WANTING = ["over-rate", "allowance-unreachable", "over-burst"];
+const ALLOWANCE_REFUSAL_CODES = ["over-rate", "allowance-unreachable", "over-burst"];
 
 const run = (options: Options): Promise<boolean> =>
     withTopology("history", demoPlan, async topology => {
@@ -55,7 +55,7 @@
         const { id, rate, burst, key } = organisation;
         const lengthMs = options.seconds * 1_000;
         const [outcomes, faults] = await Promise.all([
-            sendSteadily({
+            sendPoissonLoad({
                 daemons: topology.daemons,
                 key,
                 model: demo.model,
@@ -69,26 +69,28 @@
         ]);
         faults.forEach(line => console.log(`fault after ${line}`));
         const runs = await readModelRuns(topology);
-        const verdict = judgeSpending(runs, { organisation: id, rate, burst, outputTokens: OUTPUT_TOKENS });
-        const wanting = outcomes.filter(outcome => WANTING.includes(outcome.code ?? ""));
-        const waits = wanting.map(outcome => outcome.tookMs).sort((a, b) => a - b);
-        const over = verdict?.over ?? 0;
-        const wrongful = options.faults.length === 0 && options.demand < 1 ? wanting.length : 0;
+        const worstInterval = judgeSpending(runs, { organisation: id, rate, burst, outputTokens: OUTPUT_TOKENS });
+        const allowanceRefusals = outcomes.filter(outcome => ALLOWANCE_REFUSAL_CODES.includes(outcome.code ?? ""));
+        const latencies = allowanceRefusals.map(outcome => outcome.latencyMs).sort((a, b) => a - b);
+        const tokensOver = worstInterval?.over ?? 0;
+        const wrongful = options.faults.length === 0 && options.demand < 1 ? allowanceRefusals.length : 0;
         console.log(`answers: ${JSON.stringify(countBy(outcomes))}`);
         console.log(
-            `refusals for want of tokens: median ${(waits[waits.length >> 1] ?? 0).toFixed(1)} ms, longest ${
-                (waits.at(-1) ?? 0).toFixed(1)
+            `refusals for want of tokens: median ${(latencies[latencies.length >> 1] ?? 0).toFixed(1)} ms, longest ${
+                (latencies.at(-1) ?? 0).toFixed(1)
             } ms`,
         );
-        console.log(`spending: ${runs.length} runs, worst interval ${JSON.stringify(verdict)}`);
-        console.log(`over rate and burst: ${Math.max(0, over - rate * CHARGE_TO_RUN_MS / 1_000).toFixed(0)} tokens`);
+        console.log(`spending: ${runs.length} runs, worst interval ${JSON.stringify(worstInterval)}`);
+        console.log(
+            `over rate and burst: ${Math.max(0, tokensOver - rate * MAX_CHARGE_TO_RUN_MS / 1_000).toFixed(0)} tokens`,
+        );
         console.log(`refused inside the rate, without faults: ${wrongful}`);
-        return over <= rate * CHARGE_TO_RUN_MS / 1_000 && wrongful === 0 && runs.length > 0;
+        return tokensOver <= rate * MAX_CHARGE_TO_RUN_MS / 1_000 && wrongful === 0 && runs.length > 0;
     });
 
 const cli = cac("check-history");
 cli.option("--seed <number>", "seed of arrivals and faults");
-cli.option("--faults <list>", `none, or of ${KINDS.join(",")}`);
+cli.option("--faults <list>", `none, or of ${FAULT_KINDS.join(",")}`);
 cli.option("--seconds <number>", "length of the run");
 cli.option("--demand <factor>", "tokens asked for, as a multiple of the rate");
 cli.help();
--- a/packages/bench/src/checkHistory/sendSteadily.ts
+++ b/packages/bench/src/checkHistory/sendPoissonLoad.ts
@@ -4,12 +4,12 @@
 import type { DaemonProcess } from "../topology/DaemonProcess.js";
 import type { HistoryOutcome } from "./HistoryOutcome.js";
 
-/** What is sent. */
-type Sending = {
+/** Load to send; requests arrive as a Poisson process. */
+type PoissonLoad = {
     readonly daemons: readonly DaemonProcess[];
     readonly key: string;
     readonly model: string;
-    /** Tokens a second over all daemons. */
+    /** Tokens per second over all daemons. */
     readonly demand: number;
     readonly maxPromptTokens: number;
     readonly outputTokens: number;
@@ -18,9 +18,9 @@
 };
 
 const BYTES_PER_TOKEN = 4;
-const HALF = 0.5;
+const MEAN_PROMPT_FRACTION = 0.5;
 
-const codeOf = (text: string): string | undefined => {
+const errorCodeOf = (text: string): string | undefined => {
     try {
         return (JSON.parse(text) as { readonly error?: { readonly code?: string; }; }).error?.code;
     }
@@ -29,11 +29,11 @@
     }
 };
 
-/** Sends chats at random moments to random daemons, whatever becomes of the earlier ones, and notes each answer. */
-export async function sendSteadily(sending: Sending): Promise<readonly HistoryOutcome[]> {
-    const { daemons, key, model, random, outputTokens, maxPromptTokens } = sending;
-    const begun = performance.now();
-    const meanMs = 1_000 * (maxPromptTokens * HALF + outputTokens) / sending.demand;
+/** Sends chats at random times to random daemons without waiting for earlier answers, and returns every outcome. */
+export async function sendPoissonLoad(load: PoissonLoad): Promise<readonly HistoryOutcome[]> {
+    const { daemons, key, model, random, outputTokens, maxPromptTokens } = load;
+    const startedAt = performance.now();
+    const meanMs = 1_000 * (maxPromptTokens * MEAN_PROMPT_FRACTION + outputTokens) / load.demand;
 
     const send = async (daemon: DaemonProcess, promptTokens: number): Promise<HistoryOutcome> => {
         const at = Date.now();
@@ -48,17 +48,19 @@
             key,
             body: { model, messages: [{ role: "user", content }], max_tokens: outputTokens },
         }).catch(() => undefined);
-        const code = answer === undefined || answer.status === 200 ? undefined : codeOf(answer.text);
-        return { vm: daemon.vm, at, status: answer?.status, code, tookMs: performance.now() - sent };
+        const code = answer === undefined || answer.status === 200 ? undefined : errorCodeOf(answer.text);
+        return { vm: daemon.vm, at, status: answer?.status, code, latencyMs: performance.now() - sent };
     };
-    const later = async (sent: readonly Promise<HistoryOutcome>[]): Promise<readonly Promise<HistoryOutcome>[]> => {
-        if (performance.now() - begun >= sending.lengthMs) {
+    const sendUntilEnd = async (
+        sent: readonly Promise<HistoryOutcome>[],
+    ): Promise<readonly Promise<HistoryOutcome>[]> => {
+        if (performance.now() - startedAt >= load.lengthMs) {
             return sent;
         }
         await delay(-Math.log(1 - random()) * meanMs);
         const daemon = daemons[Math.floor(random() * daemons.length)];
         const promptTokens = 1 + Math.floor(random() * maxPromptTokens);
-        return await later(daemon === undefined ? sent : [...sent, send(daemon, promptTokens)]);
+        return await sendUntilEnd(daemon === undefined ? sent : [...sent, send(daemon, promptTokens)]);
     };
-    return await Promise.all(await later([]));
+    return await Promise.all(await sendUntilEnd([]));
 }
--- a/packages/bench/src/histories/HistoryPlan.ts
+++ b/packages/bench/src/histories/HistoryPlan.ts
@@ -1,7 +1,7 @@
-/** A run of callers' requests under faults. */
+/** Parameters of a run of callers' requests under faults. */
 export type HistoryPlan = {
     readonly seed: number;
-    /** Names of faults; `crash-prompt` has a caller send a prompt that crashes engines. */
+    /** Names of faults; with `crash-prompt`, a caller sends a prompt that crashes engines. */
     readonly faults: readonly string[];
     readonly streams: number;
     readonly keys: number;
--- a/packages/bench/src/histories/callService.ts
+++ b/packages/bench/src/histories/callService.ts
@@ -1,14 +1,13 @@
 import { callHttp } from "../topology/callHttp.js";
 
-/** What a caller saw of one call to a plain service; status 0 when no answer came. */
-type CallSeen = {
+/** Outcome of one call to a plain service as seen by its caller; status 0 without an answer. */
+type CallOutcome = {
     readonly status: number;
     readonly code: string | undefined;
     readonly ran: string | undefined;
     readonly body: string;
 };
 
-/** What is asked for. */
 type ServiceCall = {
     readonly caller: string;
     readonly key: string;
@@ -19,8 +18,8 @@
 
 type ErrorBody = { readonly error?: { readonly code?: string; readonly ran?: string; }; };
 
-/** Makes one call that may not be repeated. */
-export async function callService(call: ServiceCall): Promise<CallSeen> {
+/** Calls a plain service once on a path whose requests must not be repeated. */
+export async function callService(call: ServiceCall): Promise<CallOutcome> {
     try {
         const { status, text } = await callHttp({
             method: "POST",
--- a/packages/bench/src/histories/main.ts
+++ b/packages/bench/src/histories/main.ts
@@ -1,6 +1,6 @@
 /**
- * A history of callers' requests: `check-request-history [--seed N] [--faults LIST]`. Exit codes: 0 nothing was violated, 1
- * something was, 2 the arguments are wrong.
+ * Runs and checks a history of callers' requests: `check-request-history [--seed N] [--faults LIST]`. Exit codes: 0 no rule
+ * was violated, 1 a rule was violated, 2 invalid arguments.
  */
 import { writeFileSync } from "node:fs";
 import { join } from "node:path";
@@ -18,7 +18,6 @@
 const NO_FAULT = "none";
 const CRASH_PROMPT = "crash-prompt";
 
-/** Options of the command. */
 type Options = {
     readonly seed: number;
     readonly faults: string;
@@ -29,7 +28,7 @@
     readonly short?: boolean;
 };
 
-/** The histories of `npm run verify`, one after the other. */
+/** Faults of the histories that `npm run verify` runs in this order. */
 const SHORT_SUITE: readonly (readonly string[])[] = [
     ["kill-engine", "skip-tokens", "cross-answers"],
     ["kill-service", "lose-service-answers", "log-loses-answers"],
@@ -37,7 +36,7 @@
 ];
 const SHORT_PLAN = { seed: 5, streams: 20, keys: 6, spanMs: 2_000 };
 
-const tally = (history: readonly RequestEvent[]): string => {
+const summaryOf = (history: readonly RequestEvent[]): string => {
     const names = history.map(event => {
         switch (event.kind) {
             case "stream":
@@ -59,15 +58,15 @@
 const linesOf = (history: readonly RequestEvent[]): string =>
     history.map(event => `${JSON.stringify(event)}\n`).join("");
 
-/** Runs and judges one history; false when something was violated. Logs and endpoints' histories are kept then. */
-const runOne = (plan: HistoryPlan, out: string | undefined): Promise<boolean> => {
-    const judge = async (folder: string): Promise<boolean> => {
+/** Runs and checks one history. If a rule is violated, returns false and keeps the logs and the endpoints' histories. */
+const runHistory = (plan: HistoryPlan, out: string | undefined): Promise<boolean> => {
+    const runAndCheck = async (folder: string): Promise<boolean> => {
         const history = await runRequestHistory(plan, folder);
         if (out !== undefined) {
             writeFileSync(out, linesOf(history));
         }
         const violations = checkRequests(history);
-        console.log(`seed ${plan.seed}, faults ${plan.faults.join(",") || "none"}: ${tally(history)}`);
+        console.log(`seed ${plan.seed}, faults ${plan.faults.join(",") || "none"}: ${summaryOf(history)}`);
         violations.forEach(({ rule, detail }) => console.log(`violated: ${rule}: ${detail}`));
         console.log(`${violations.length} violations`);
         if (violations.length > 0) {
@@ -76,12 +75,12 @@
         }
         return violations.length === 0;
     };
-    return withFolder("history", judge, isClean => !isClean);
+    return withFolder("history", runAndCheck, isClean => !isClean);
 };
 
-const runShort = async (): Promise<number> => {
+const runShortSuite = async (): Promise<number> => {
     const results = await SHORT_SUITE.reduce<Promise<readonly boolean[]>>(
-        async (before, faults) => [...await before, await runOne({ ...SHORT_PLAN, faults }, undefined)],
+        async (before, faults) => [...await before, await runHistory({ ...SHORT_PLAN, faults }, undefined)],
         Promise.resolve([]),
     );
     return results.every(isClean => isClean) ? 0 : 1;
@@ -89,7 +88,7 @@
 
 const run = async (options: Options): Promise<number> => {
     if (options.short === true) {
-        return runShort();
+        return runShortSuite();
     }
     const faults = options.faults.split(",").filter(name => name !== NO_FAULT);
     const known = [...Object.keys(requestFaults), CRASH_PROMPT];
@@ -99,7 +98,7 @@
         return 2;
     }
     const { seed, streams, keys, spanMs, out } = options;
-    return await runOne({ seed, faults, streams, keys, spanMs }, out) ? 0 : 1;
+    return await runHistory({ seed, faults, streams, keys, spanMs }, out) ? 0 : 1;
 };
 
 const cli = cac("check-request-history");
--- a/packages/bench/src/histories/readStream.ts
+++ b/packages/bench/src/histories/readStream.ts
@@ -1,9 +1,9 @@
 import { request } from "undici";
 
-const CALL_BOUND_MS = 40_000;
+const CALL_TIMEOUT_MS = 40_000;
 
-/** What a caller saw of one streamed completion. */
-type StreamSeen = {
+/** Outcome of one streamed completion as seen by its caller. */
+type StreamOutcome = {
     readonly status: number;
     readonly positions: readonly number[];
     readonly text: string;
@@ -13,7 +13,6 @@
     readonly ran: string | undefined;
 };
 
-/** What is asked for. */
 type StreamCall = {
     readonly caller: string;
     readonly key: string;
@@ -30,12 +29,12 @@
 
 const dataOf = (event: string): string => event.split("\n").find(line => line.startsWith("data: "))?.slice(6) ?? "";
 
-const errorOf = (json: string): Pick<StreamSeen, "code" | "ran"> => {
+const errorOf = (json: string): Pick<StreamOutcome, "code" | "ran"> => {
     const { error } = JSON.parse(json) as ErrorBody;
     return { code: error?.code, ran: error?.ran };
 };
 
-const judge = (status: number, raw: string, isBroken: boolean): StreamSeen => {
+const outcomeOf = (status: number, raw: string, isBroken: boolean): StreamOutcome => {
     if (status !== 200) {
         const none = { status, positions: [], text: "", finished: false, code: undefined, ran: undefined };
         return isBroken || status === 0
@@ -60,8 +59,8 @@
 
 const isRefused = (err: unknown): boolean => err instanceof Error && "code" in err && err.code === "ECONNREFUSED";
 
-/** The daemon was down and took no request; nothing has broken off. */
-const UNREACHED: StreamSeen = {
+/** The daemon was down and accepted no connection: the request has not run, and no stream was cut. */
+const DAEMON_DOWN: StreamOutcome = {
     status: 0,
     positions: [],
     text: "",
@@ -71,23 +70,23 @@
     ran: "no",
 };
 
-/** Sends a streamed completion and reads it to its end, however that comes. */
-export async function readStream(call: StreamCall): Promise<StreamSeen> {
-    const seen = { status: 0, raw: "" };
+/** Sends a streamed completion and reads it until it is complete, fails or is cut off. */
+export async function readStream(call: StreamCall): Promise<StreamOutcome> {
+    const received = { status: 0, raw: "" };
     try {
         const res = await request(`${call.caller}/v1/completions`, {
             method: "POST",
-            signal: AbortSignal.timeout(CALL_BOUND_MS),
+            signal: AbortSignal.timeout(CALL_TIMEOUT_MS),
             headers: { "content-type": "application/json", "authorization": `Bearer ${call.key}` },
             body: JSON.stringify({ model: call.model, prompt: call.prompt, max_tokens: call.maxTokens, stream: true }),
         });
-        seen.status = res.statusCode;
+        received.status = res.statusCode;
         for await (const bytes of res.body as AsyncIterable<Buffer>) {
-            seen.raw += bytes.toString("utf8");
+            received.raw += bytes.toString("utf8");
         }
-        return judge(seen.status, seen.raw, false);
+        return outcomeOf(received.status, received.raw, false);
     }
     catch (err) {
-        return isRefused(err) ? UNREACHED : judge(seen.status, seen.raw, true);
+        return isRefused(err) ? DAEMON_DOWN : outcomeOf(received.status, received.raw, true);
     }
 }
--- a/packages/bench/src/histories/requestFaults.ts
+++ b/packages/bench/src/histories/requestFaults.ts
@@ -8,13 +8,13 @@
 const RESTART_MS = 500;
 const CUT_AFTER_TOKENS = 5;
 
-/** Chooses one of several. */
+/** Chooses one item at random. */
 type Choose = <Item>(items: readonly Item[]) => Item;
 
-/** Brings a fault about; settles when it is over. */
+/** Injects a fault; resolves when the fault is over, or at once if it is not undone. */
 type Fault = (topology: Topology, choose: Choose) => Promise<void>;
 
-const control = async (url: string, switches: object): Promise<void> => {
+const setSwitches = async (url: string, switches: object): Promise<void> => {
     await callHttp({ method: "POST", url: `${url}/control`, body: switches });
 };
 
@@ -23,9 +23,10 @@
 const services = ({ endpoints }: Topology) =>
     endpoints.filter(({ kind, hasExited }) => kind === "service" && !hasExited());
 
-const onEngine = (switches: object): Fault => (topology, choose) => control(choose(engines(topology)).url, switches);
+const onEngine = (switches: object): Fault => (topology, choose) =>
+    setSwitches(choose(engines(topology)).url, switches);
 const onServices = (switches: object): Fault => async topology => {
-    await Promise.all(services(topology).map(({ url }) => control(url, switches)));
+    await Promise.all(services(topology).map(({ url }) => setSwitches(url, switches)));
 };
 
 const killDaemon: Fault = async ({ daemons }, choose) => {
@@ -48,12 +49,11 @@
     engine.signal("SIGCONT");
 };
 const logDown: Fault = async ({ platform }) => {
-    await control(platform.url, { downParts: ["log"] });
+    await setSwitches(platform.url, { downParts: ["log"] });
     await sleep(OUTAGE_MS);
-    await control(platform.url, { downParts: [] });
+    await setSwitches(platform.url, { downParts: [] });
 };
 
-/** Faults by name. */
 const requestFaults: Readonly<Record<string, Fault>> = {
     "kill-engine": (topology, choose) => Promise.resolve(choose(engines(topology)).signal("SIGKILL")),
     "freeze-engine": freezeEngine,
@@ -70,7 +70,7 @@
     "kill-daemon": killDaemon,
     "freeze-daemon": freezeDaemon,
     "log-down": logDown,
-    "log-loses-answers": ({ platform }) => control(platform.url, { loseAnswers: 8 }),
+    "log-loses-answers": ({ platform }) => setSwitches(platform.url, { loseAnswers: 8 }),
 };
 
 export { requestFaults };
--- a/packages/bench/src/histories/runRequestHistory.ts
+++ b/packages/bench/src/histories/runRequestHistory.ts
@@ -19,30 +19,35 @@
 import { requestFaults } from "./requestFaults.js";
 
 const CRASH_TEXT = "this prompt ends the process";
-const CRASH_SENDS = 4;
-const TOKEN_BYTES = 4;
-const FIRST_PROMPT_TOKENS = 100;
+const CRASH_ATTEMPTS = 4;
+const BYTES_PER_TOKEN = 4;
+const MIN_PROMPT_TOKENS = 100;
 const REPEAT_AFTER_MS = 1_500;
-const DAEMONS_AT_ONCE = 3;
-const MIN_ANSWER = 30;
-const MAX_ANSWER = 120;
-const FAULT_FROM = 0.2;
-const FAULT_TO = 0.6;
+const CONCURRENT_CALLS = 3;
+const MIN_ANSWER_TOKENS = 30;
+const MAX_ANSWER_TOKENS = 120;
+const MIN_FAULT_START_FRACTION = 0.2;
+const MAX_FAULT_START_FRACTION = 0.6;
 
-/** Daemons that start together learn of one another with the second reading of the list of VMs. */
-const MEMBERSHIP_MS = 2_500;
+/** Daemons that start together discover one another with their second read of the VM list. */
+const MEMBERSHIP_DELAY_MS = 2_500;
 
 type Random = (from: number, to: number) => number;
 type Demo = ReturnType<typeof demoNote>;
 type Organisation = Demo["organisations"][number];
-type World = { readonly topology: Topology; readonly demo: Demo; readonly random: Random; readonly plan: HistoryPlan; };
+type HistoryContext = {
+    readonly topology: Topology;
+    readonly demo: Demo;
+    readonly random: Random;
+    readonly plan: HistoryPlan;
+};
 
 const createRandom = (seed: number): Random => {
     const generator = xoroshiro128plus(seed);
     return (from, to) => uniformInt(generator, from, to);
 };
 
-/** The demonstration's installation, with a history file for each endpoint. */
+/** Adds a history file for each endpoint to a plan, and slows down the engines. */
 const withHistories = (plan: TopologyPlan, folder: string, crashes: boolean): TopologyPlan => ({
     ...plan,
     endpoints: plan.endpoints.map(endpoint => ({
@@ -57,20 +62,20 @@
 });
 
 const promptOf = (index: number, head: string): string =>
-    `${head}${index} `.padEnd((FIRST_PROMPT_TOKENS + index) * TOKEN_BYTES, "snow chains for narrow tyres ");
+    `${head}${index} `.padEnd((MIN_PROMPT_TOKENS + index) * BYTES_PER_TOKEN, "snow chains for narrow tyres ");
 
 const choose = (random: Random) => <Item>(items: readonly Item[]): Item => items[random(0, items.length - 1)] as Item;
 
-async function oneStream(world: World, index: number, isCrash: boolean): Promise<RequestEvent> {
-    const { topology, demo, random, plan } = world;
+async function sendStream(context: HistoryContext, index: number, isCrash: boolean): Promise<RequestEvent> {
+    const { topology, demo, random, plan } = context;
     const pick = choose(random);
     const organisation = isCrash ? demo.organisations[0] as Organisation : pick(demo.organisations);
     const daemon = pick(topology.daemons);
-    const maxTokens = isCrash ? MIN_ANSWER : random(MIN_ANSWER, MAX_ANSWER);
+    const maxTokens = isCrash ? MIN_ANSWER_TOKENS : random(MIN_ANSWER_TOKENS, MAX_ANSWER_TOKENS);
     await sleep(random(0, plan.spanMs));
     const before = daemon.process();
     const prompt = promptOf(index, isCrash ? CRASH_TEXT : "question ");
-    const seen = await readStream({
+    const outcome = await readStream({
         caller: daemon.caller,
         key: organisation.key,
         model: demo.model,
@@ -81,59 +86,61 @@
         kind: "stream",
         id: `stream-${index}`,
         organisation: organisation.id,
-        promptTokens: prompt.length / TOKEN_BYTES,
+        promptTokens: prompt.length / BYTES_PER_TOKEN,
         maxTokens,
-        ...seen,
+        ...outcome,
         daemonKilled: before.hasExited() || daemon.process() !== before,
         crashes: isCrash,
     };
 }
 
-async function oneCall(world: World, index: number, isKeyed: boolean): Promise<readonly RequestEvent[]> {
-    const { topology, demo, random, plan } = world;
+async function sendCalls(context: HistoryContext, index: number, isKeyed: boolean): Promise<readonly RequestEvent[]> {
+    const { topology, demo, random, plan } = context;
     const pick = choose(random);
     const organisation = pick(demo.organisations);
     const path = `/bookings/${index}`;
     const key = isKeyed ? `hold-${index}` : undefined;
     const call = async (name: string): Promise<RequestEvent> => {
-        const seen = await callService({
+        const outcome = await callService({
             caller: pick(topology.daemons).caller,
             key: organisation.key,
             service: demo.service,
             path,
             idempotencyKey: key,
         });
-        return { kind: "call", id: `call-${index}-${name}`, organisation: organisation.id, key, path, ...seen };
+        return { kind: "call", id: `call-${index}-${name}`, organisation: organisation.id, key, path, ...outcome };
     };
     await sleep(random(0, plan.spanMs));
     if (!isKeyed) {
         return [await call("only")];
     }
-    const atOnce = await Promise.all(Array.from({ length: DAEMONS_AT_ONCE }, (_, i) => call(`at-once-${i}`)));
+    const concurrent = await Promise.all(Array.from({ length: CONCURRENT_CALLS }, (_, i) => call(`at-once-${i}`)));
     await sleep(REPEAT_AFTER_MS);
-    return [...atOnce, await call("again")];
+    return [...concurrent, await call("again")];
 }
 
-/** The same caller sends a prompt that crashes engines several times, through different daemons. */
-async function crashStreams(world: World): Promise<readonly RequestEvent[]> {
-    const index = world.plan.streams + 1;
+/** Sends a prompt that crashes engines several times as the same caller, through randomly chosen daemons. */
+async function sendCrashStreams(context: HistoryContext): Promise<readonly RequestEvent[]> {
+    const index = context.plan.streams + 1;
     const once = (left: number): Promise<readonly RequestEvent[]> =>
         left === 0
             ? Promise.resolve([])
-            : oneStream({ ...world, plan: { ...world.plan, spanMs: 500 } }, index, true).then(async event => [
+            : sendStream({ ...context, plan: { ...context.plan, spanMs: 500 } }, index, true).then(async event => [
                 event,
                 ...await once(left - 1),
             ]);
-    return once(CRASH_SENDS);
+    return once(CRASH_ATTEMPTS);
 }
 
-async function runFault(world: World, name: string): Promise<void> {
-    const { topology, random, plan } = world;
+async function runFault(context: HistoryContext, name: string): Promise<void> {
+    const { topology, random, plan } = context;
     const fault = requestFaults[name];
     if (fault === undefined) {
         throw new Error(`${name} is no fault; allowed: ${Object.keys(requestFaults).join(", ")}, crash-prompt`);
     }
-    await sleep(random(Math.round(plan.spanMs * FAULT_FROM), Math.round(plan.spanMs * FAULT_TO)));
+    await sleep(
+        random(Math.round(plan.spanMs * MIN_FAULT_START_FRACTION), Math.round(plan.spanMs * MAX_FAULT_START_FRACTION)),
+    );
     await fault(topology, choose(random));
 }
 
@@ -142,7 +149,7 @@
         JSON.parse(line) as Record<string, unknown>
     );
 
-const readRuns = ({ topology }: World, folder: string): readonly RequestEvent[] =>
+const readRuns = ({ topology }: HistoryContext, folder: string): readonly RequestEvent[] =>
     topology.endpoints.flatMap<RequestEvent>(({ name, kind }) => {
         if (kind === "cache") {
             return [];
@@ -164,9 +171,12 @@
             }));
     });
 
-/** Asks one living engine itself, past the daemons, for the whole text of each prompt. */
-async function readReferences(world: World, streams: readonly RequestEvent[]): Promise<readonly RequestEvent[]> {
-    const { topology, demo } = world;
+/** Requests the whole answer to each prompt directly from one live engine, as the reference for the streamed answers. */
+async function readReferences(
+    context: HistoryContext,
+    streams: readonly RequestEvent[],
+): Promise<readonly RequestEvent[]> {
+    const { topology, demo } = context;
     const engine = topology.endpoints.find(({ kind, hasExited }) => kind === "model" && !hasExited());
     if (engine === undefined) {
         return [];
@@ -175,7 +185,7 @@
         event.kind === "stream" && !event.crashes && event.text !== "" ? [event] : []
     );
     const ask = async (event: (typeof served)[number]): Promise<RequestEvent> => {
-        const index = event.promptTokens - FIRST_PROMPT_TOKENS;
+        const index = event.promptTokens - MIN_PROMPT_TOKENS;
         const { text } = await callHttp({
             method: "POST",
             url: `${engine.url}/v1/completions`,
@@ -198,10 +208,10 @@
 }
 
 /**
- * Runs callers' requests against real processes while faults happen.
+ * Runs callers' requests against real processes while faults are injected.
  *
- * @param folder for settings, logs and the endpoints' histories
- * @returns what callers saw and what endpoints say that they ran
+ * @param folder folder for settings, logs and the endpoints' histories
+ * @returns the outcomes seen by callers and the runs recorded by endpoints
  */
 export async function runRequestHistory(plan: HistoryPlan, folder: string): Promise<readonly RequestEvent[]> {
     const crashes = plan.faults.includes("crash-prompt");
@@ -209,19 +219,19 @@
     try {
         const demo = demoNote(topology);
         await applyRelease(topology, demo.note);
-        await sleep(MEMBERSHIP_MS);
-        const world: World = { topology, demo, random: createRandom(plan.seed), plan };
-        const faults = plan.faults.filter(name => name !== "crash-prompt").map(name => runFault(world, name));
-        const streams = Array.from({ length: plan.streams }, (_, index) => oneStream(world, index, false));
-        const calls = Array.from({ length: plan.keys * 2 }, (_, index) => oneCall(world, index, index % 2 === 0));
-        const crashed = crashes ? await crashStreams(world) : [];
-        const seen = [...await Promise.all(streams), ...(await Promise.all(calls)).flat(), ...crashed];
+        await sleep(MEMBERSHIP_DELAY_MS);
+        const context: HistoryContext = { topology, demo, random: createRandom(plan.seed), plan };
+        const faults = plan.faults.filter(name => name !== "crash-prompt").map(name => runFault(context, name));
+        const streams = Array.from({ length: plan.streams }, (_, index) => sendStream(context, index, false));
+        const calls = Array.from({ length: plan.keys * 2 }, (_, index) => sendCalls(context, index, index % 2 === 0));
+        const crashed = crashes ? await sendCrashStreams(context) : [];
+        const outcomes = [...await Promise.all(streams), ...(await Promise.all(calls)).flat(), ...crashed];
         await Promise.all(faults);
-        const runs = readRuns(world, folder);
+        const runs = readRuns(context, folder);
         const died: readonly RequestEvent[] = topology.endpoints
             .filter(({ kind, hasExited }) => crashes && kind === "model" && hasExited())
             .map(({ name }) => ({ kind: "engine-crash", endpoint: name }));
-        return [...seen, ...runs, ...died, ...await readReferences(world, seen)];
+        return [...outcomes, ...runs, ...died, ...await readReferences(context, outcomes)];
     }
     finally {
         await topology.stop();
