--- a/packages/bench/src/configuration/watchRevisions.ts
+++ b/packages/bench/src/configuration/watchRevisions.ts
@@ -3,23 +3,22 @@
 
 const POLL_MS = 50;
 
-/** A revision that went down on a daemon while its process went on running. */
+/** A decrease of the revision on a daemon within one process lifetime. */
 type Reversion = { readonly vm: string; readonly from: number; readonly to: number; };
 
-/** Watches the revisions that all daemons have in force. */
 type RevisionWatch = {
     readonly reversions: () => readonly Reversion[];
-    readonly looks: () => number;
+    readonly polls: () => number;
     readonly stop: () => void;
 };
 
-/** Starts to ask all daemons for their revisions again and again. */
+/** Starts polling the revision in force on each daemon. */
 export function watchRevisions({ daemons, adminKey }: Topology): RevisionWatch {
     const newest = new Map<string, { readonly pid: number; readonly revision: number; }>();
     const reversions: Reversion[] = [];
-    const state = { looks: 0, isStopped: false };
+    const state = { polls: 0, isStopped: false };
 
-    const look = async (daemon: Topology["daemons"][number]): Promise<void> => {
+    const poll = async (daemon: Topology["daemons"][number]): Promise<void> => {
         const { pid } = daemon.process();
         const { text } = await callHttp({ method: "GET", url: `${daemon.admin}/admin/v1/status`, key: adminKey });
         const { revision } = JSON.parse(text) as { readonly revision: number; };
@@ -30,18 +29,18 @@
         if (daemon.process().pid === pid) {
             newest.set(daemon.vm, { pid, revision });
         }
-        state.looks += 1;
+        state.polls += 1;
     };
-    const follow = async (daemon: Topology["daemons"][number]): Promise<void> => {
-        await look(daemon).catch(() => undefined);
+    const pollRepeatedly = async (daemon: Topology["daemons"][number]): Promise<void> => {
+        await poll(daemon).catch(() => undefined);
         if (!state.isStopped) {
-            setTimeout(() => void follow(daemon), POLL_MS);
+            setTimeout(() => void pollRepeatedly(daemon), POLL_MS);
         }
     };
-    daemons.forEach(daemon => void follow(daemon));
+    daemons.forEach(daemon => void pollRepeatedly(daemon));
     return {
         reversions: () => reversions,
-        looks: () => state.looks,
+        polls: () => state.polls,
         stop: () => {
             state.isStopped = true;
         },
