--- a/packages/bench/src/demo/demoNote.ts
+++ b/packages/bench/src/demo/demoNote.ts
@@ -10,10 +10,10 @@
 const MODEL = "chain-advisor";
 const SERVICE = "bookings";
 
-/** An organisation of the demonstration with the key of its callers. */
+/** An organisation of the demonstration with its callers' key. */
 type DemoOrganisation = (typeof ORGANISATIONS)[number] & { readonly key: string; };
 
-/** The release note of the demonstration and the keys that it gives. */
+/** The release note of the demonstration and the keys that it declares. */
 type DemoNote = {
     readonly note: object;
     readonly organisations: readonly DemoOrganisation[];
@@ -29,7 +29,7 @@
     digest: createHash("sha256").update(key).digest("hex"),
 });
 
-/** Writes the release note that declares all endpoints of a topology, three organisations and their keys. */
+/** Creates the release note that declares all endpoints of a topology, three organisations and their keys. */
 export function demoNote(topology: Topology): DemoNote {
     const organisations = ORGANISATIONS.map(organisation => ({
         ...organisation,
--- a/packages/bench/src/demo/demoPlan.ts
+++ b/packages/bench/src/demo/demoPlan.ts
@@ -15,10 +15,10 @@
 };
 
 /**
- * The installation of the demonstration: three failure domains with two daemons, two engines and one replica of a
+ * Plans the demonstration's installation: three failure domains with two daemons, two engines and one replica of a
  * plain service each, and a KV cache store.
  *
- * @param folder for settings and logs
+ * @param folder folder for settings and logs
  */
 export function demoPlan(folder: string): TopologyPlan {
     const engines = FAILURE_DOMAINS.flatMap(failureDomain =>
--- a/packages/bench/src/demo/expectThat.ts
+++ b/packages/bench/src/demo/expectThat.ts
@@ -1,7 +1,7 @@
 /**
- * Ends a step of the demonstration that went wrong.
+ * Asserts a condition of a step.
  *
- * @throws Error that tells what was expected and what was seen
+ * @throws Error with what was expected and what was seen if the condition does not hold
  */
 export function expectThat(condition: boolean, expected: string, seen: unknown): asserts condition {
     if (!condition) {
--- a/packages/bench/src/demo/main.ts
+++ b/packages/bench/src/demo/main.ts
@@ -1,4 +1,4 @@
-/** The demonstration: `demo [--keep --state FILE]`. Exit codes: 0 all steps went well, 1 a step failed. */
+/** Runs the demonstration: `demo [--keep --state FILE]`. Exit codes: 0 all steps passed, 1 a step failed. */
 import { mkdtempSync, rmSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
@@ -13,18 +13,17 @@
 
 const PARENT_CHECK_MS = 500;
 
-/** Options of the demonstration. */
 type Options = { readonly keep?: boolean; readonly state?: string; };
 
 const writeState = (file: string, topology: Topology, demo: ReturnType<typeof demoNote>): void => {
     const { platform, endpoints, daemons, adminKey } = topology;
     const state = {
-        daemons: daemons.map(({ vm, failureDomain, caller, admin, process: running }) => ({
+        daemons: daemons.map(({ vm, failureDomain, caller, admin, process: currentProcess }) => ({
             vm,
             failureDomain,
             caller,
             admin,
-            pid: running().pid,
+            pid: currentProcess().pid,
         })),
         platform: { url: platform.url, pid: platform.pid },
         endpoints: endpoints.map(({ name, kind, failureDomain, url, pid }) => ({
@@ -43,10 +42,10 @@
 };
 
 /**
- * Settles when this process is to end: by a signal, or because what started it is gone. `npm run` passes a signal to the
- * shell between, which dies of it without a word to this process; that shows as another parent.
+ * Resolves when this process must stop: on a signal, or when its parent process is gone. `npm run` sends a signal to an
+ * intermediate shell, which dies without forwarding it; this process then sees a different parent process id.
  */
-const interrupted = (): Promise<void> =>
+const waitForStop = (): Promise<void> =>
     new Promise(resolve => {
         const parent = process.ppid;
         const orphaned = setInterval(() => process.ppid === parent ? undefined : resolve(), PARENT_CHECK_MS);
@@ -57,19 +56,19 @@
 
 const run = async (options: Options): Promise<void> => {
     const folder = mkdtempSync(join(tmpdir(), "azureshunt-demo-"));
-    const stopAsked = interrupted();
+    const stopRequested = waitForStop();
     const topology = await startTopology(demoPlan(folder));
     try {
         console.log(`started ${topology.daemons.length} daemons and ${topology.endpoints.length} endpoints`);
         const demo = demoNote(topology);
-        await runSteps({ topology, demo, folder, say: line => console.log(line) });
+        await runSteps({ topology, demo, folder, print: line => console.log(line) });
         console.log("demo: ok");
         if (options.state !== undefined) {
             writeState(options.state, topology, demo);
         }
         if (options.keep === true) {
             console.log(`running until interrupted; state in ${options.state ?? "no file (give --state FILE)"}`);
-            await stopAsked;
+            await stopRequested;
         }
     }
     finally {
--- a/packages/bench/src/demo/runSteps.ts
+++ b/packages/bench/src/demo/runSteps.ts
@@ -12,21 +12,20 @@
 import { longPrompt } from "./longPrompt.js";
 import { streamChat } from "./streamChat.js";
 
-const TOOL = fileURLToPath(new URL("../../../cli/bin/azureshunt.js", import.meta.url));
-const IN_FORCE_BOUND_MS = 7_000;
+const CLI_FILE = fileURLToPath(new URL("../../../cli/bin/azureshunt.js", import.meta.url));
+const IN_FORCE_TIMEOUT_MS = 7_000;
 const MAX_TOKENS = 16;
 
-/** What the steps of the demonstration work on. */
 type DemoParts = {
     readonly topology: Topology;
     readonly demo: ReturnType<typeof demoNote>;
     readonly folder: string;
-    readonly say: (line: string) => void;
+    readonly print: (line: string) => void;
 };
 
-const ms = (value: number): string => `${value.toFixed(1)} ms`;
+const formatMs = (value: number): string => `${value.toFixed(1)} ms`;
 
-/** Applies a release note with the command-line tool and waits until every daemon has it in force. */
+/** Runs all steps of the demonstration in order; the first that fails throws. */
 export async function runSteps(parts: DemoParts): Promise<void> {
     await applyNote(parts, "first release", parts.demo.note, 1);
     await streamTwice(parts);
@@ -34,12 +33,13 @@
     await withdrawKey(parts);
 }
 
+/** Applies a release note with the command-line tool and waits until every daemon has it in force. */
 async function applyNote(parts: DemoParts, name: string, note: object, revision: number): Promise<void> {
-    const { topology, folder, say } = parts;
+    const { topology, folder, print } = parts;
     const file = `${folder}/${name.replaceAll(" ", "-")}.yaml`;
     writeFileSync(file, stringify(note));
     const args = [
-        TOOL,
+        CLI_FILE,
         "release",
         "apply",
         file,
@@ -48,10 +48,10 @@
         "--key",
         topology.adminKey,
     ];
-    const begun = performance.now();
+    const startedAt = performance.now();
     const { status, stdout, stderr } = spawnSync(process.execPath, args, { encoding: "utf8" });
     expectThat(status === 0, `azureshunt release apply of ${name} to exit with 0`, { status, stdout, stderr });
-    await waitUntil(`revision ${revision} on every daemon`, IN_FORCE_BOUND_MS, async () => {
+    await waitUntil(`revision ${revision} on every daemon`, IN_FORCE_TIMEOUT_MS, async () => {
         const revisions = await Promise.all(topology.daemons.map(async daemon => {
             const res = await callHttp({
                 method: "GET",
@@ -62,20 +62,22 @@
         }));
         return revisions.every(found => found === revision);
     });
-    say(`release note "${name}": in force on ${topology.daemons.length} daemons after ${
-        ms(performance.now() - begun)
-    }`);
+    print(
+        `release note "${name}": in force on ${topology.daemons.length} daemons after ${
+            formatMs(performance.now() - startedAt)
+        }`,
+    );
 }
 
-async function streamTwice({ topology, demo, say }: DemoParts): Promise<void> {
+async function streamTwice({ topology, demo, print }: DemoParts): Promise<void> {
     const caller = topology.daemons[0]?.caller ?? "";
     const key = demo.organisations[0]?.key ?? "";
-    const ask = (question: string) => streamChat(caller, key, demo.model, longPrompt(question), MAX_TOKENS);
-    const first = await ask("Which chain fits 205/55 R16?");
+    const streamQuestion = (question: string) => streamChat(caller, key, demo.model, longPrompt(question), MAX_TOKENS);
+    const first = await streamQuestion("Which chain fits 205/55 R16?");
     expectThat(first.complete && first.tokens > 0, "a whole stream", first);
-    // The engines publish their cache events late.
+    // Engines publish cache events with a delay; until then daemons do not know that the prefix is cached.
     await new Promise(resolve => setTimeout(resolve, 300));
-    const second = await ask("Which chain fits 225/45 R17?");
+    const second = await streamQuestion("Which chain fits 225/45 R17?");
     expectThat(second.complete && second.tokens > 0, "a whole stream", second);
     const runs = await Promise.all(
         topology.endpoints.filter(endpoint => endpoint.kind === "model").map(async endpoint => {
@@ -85,15 +87,17 @@
     );
     const cached = Math.max(...runs.flat().map(run => run.cachedTokens));
     expectThat(cached > 0, "the second prompt to find its prefix in a cache", runs.flat());
-    say(`streamed chat, new prefix: first token after ${ms(first.firstTokenMs ?? NaN)}, ${first.tokens} tokens`);
-    say(
+    print(
+        `streamed chat, new prefix: first token after ${formatMs(first.firstTokenMs ?? NaN)}, ${first.tokens} tokens`,
+    );
+    print(
         `streamed chat, same prefix: first token after ${
-            ms(second.firstTokenMs ?? NaN)
+            formatMs(second.firstTokenMs ?? NaN)
         }, ${cached} prompt tokens from cache`,
     );
 }
 
-async function bookTwice({ topology, demo, say }: DemoParts): Promise<void> {
+async function bookTwice({ topology, demo, print }: DemoParts): Promise<void> {
     const key = demo.organisations[0]?.key ?? "";
     const daemons = [topology.daemons[0], topology.daemons.at(-1)];
     const answers = await Promise.all(daemons.map(daemon =>
@@ -112,18 +116,22 @@
     }));
     expectThat(runs.flat().length === 1, "the booking to have run once", { runs: runs.flat(), answers });
     expectThat(answers.some(answer => answer.status === 200), "one of both calls to be answered with 200", answers);
-    say(`one booking through two daemons: answered ${answers.map(answer => answer.status).join(" and ")}, ran once`);
+    print(`one booking through two daemons: answered ${answers.map(answer => answer.status).join(" and ")}, ran once`);
 }
 
 async function withdrawKey(parts: DemoParts): Promise<void> {
-    const { topology, demo, say } = parts;
+    const { topology, demo, print } = parts;
     const { id, key } = demo.spareKey;
     const caller = topology.daemons.at(-1)?.caller ?? "";
     const models = () => callHttp({ method: "GET", url: `${caller}/v1/models`, key });
     expectThat((await models()).status === 200, "the key to be valid before it is withdrawn", await models());
     const note = { note: "withdraw a key", withdrawn: { keys: [id] } };
-    const begun = performance.now();
+    const startedAt = performance.now();
     await applyNote(parts, "withdraw a key", note, 2);
-    await waitUntil("the withdrawn key to be refused", IN_FORCE_BOUND_MS, async () => (await models()).status === 401);
-    say(`withdrawn key: refused with 401 after ${ms(performance.now() - begun)}`);
+    await waitUntil(
+        "the withdrawn key to be refused",
+        IN_FORCE_TIMEOUT_MS,
+        async () => (await models()).status === 401,
+    );
+    print(`withdrawn key: refused with 401 after ${formatMs(performance.now() - startedAt)}`);
 }
--- a/packages/bench/src/demo/streamChat.ts
+++ b/packages/bench/src/demo/streamChat.ts
@@ -1,11 +1,11 @@
 import { request } from "undici";
 
-const CALL_BOUND_MS = 30_000;
+const CALL_TIMEOUT_MS = 30_000;
 
-/** What one streamed chat gave. */
+/** Result of one streamed chat. */
 type StreamedChat = {
     readonly status: number;
-    /** Milliseconds to the first token; undefined when none came. */
+    /** Milliseconds to the first token; `undefined` if there was none. */
     readonly firstTokenMs: number | undefined;
     readonly tokens: number;
     readonly text: string;
@@ -17,7 +17,8 @@
 /**
  * Sends a streamed chat and reads it to its end.
  *
- * @throws Error when the connection breaks
+ * @param caller base URL of a daemon's listener for callers
+ * @throws Error if the connection breaks
  */
 export async function streamChat(
     caller: string,
@@ -26,25 +27,25 @@
     messages: readonly { readonly role: string; readonly content: string; }[],
     maxTokens: number,
 ): Promise<StreamedChat> {
-    const begun = performance.now();
+    const startedAt = performance.now();
     const res = await request(`${caller}/v1/chat/completions`, {
         method: "POST",
-        signal: AbortSignal.timeout(CALL_BOUND_MS),
+        signal: AbortSignal.timeout(CALL_TIMEOUT_MS),
         headers: { "content-type": "application/json", "authorization": `Bearer ${key}` },
         body: JSON.stringify({ model, messages, max_tokens: maxTokens, stream: true }),
     });
-    const seen: { firstTokenMs: number | undefined; raw: string; } = { firstTokenMs: undefined, raw: "" };
+    const received: { firstTokenMs: number | undefined; raw: string; } = { firstTokenMs: undefined, raw: "" };
     for await (const bytes of res.body as AsyncIterable<Buffer>) {
-        seen.firstTokenMs ??= performance.now() - begun;
-        seen.raw += bytes.toString("utf8");
+        received.firstTokenMs ??= performance.now() - startedAt;
+        received.raw += bytes.toString("utf8");
     }
-    const events = seen.raw.split("\n\n").filter(event => event.startsWith("data: ")).map(event => event.slice(6));
+    const events = received.raw.split("\n\n").filter(event => event.startsWith("data: ")).map(event => event.slice(6));
     const chunks = events.filter(event => event !== "[DONE]").map(event =>
         JSON.parse(event) as { readonly choices?: readonly { readonly delta?: { readonly content?: string; }; }[]; }
     );
     return {
         status: res.statusCode,
-        firstTokenMs: res.statusCode === 200 ? seen.firstTokenMs : undefined,
+        firstTokenMs: res.statusCode === 200 ? received.firstTokenMs : undefined,
         tokens: chunks.length,
         text: chunks.map(chunk => chunk.choices?.[0]?.delta?.content ?? "").join(""),
         complete: events.at(-1) === "[DONE]",
--- a/packages/bench/src/faults/bringAbout.ts
+++ b/packages/bench/src/faults/injectPhaseFault.ts
@@ -1,22 +1,22 @@
 import { callHttp } from "../topology/callHttp.js";
 import type { Topology } from "../topology/Topology.js";
 
-const setLogDown = async ({ platform }: Topology, down: boolean): Promise<void> => {
-    const body = { downParts: down ? ["log"] : [] };
+const setLogUnavailable = async ({ platform }: Topology, isUnavailable: boolean): Promise<void> => {
+    const body = { downParts: isUnavailable ? ["log"] : [] };
     await callHttp({ method: "POST", url: `${platform.url}/control`, body });
 };
 
-/** Brings about the failure that a phase is named after; phases without one do nothing. */
-export async function bringAbout(phase: string, topology: Topology): Promise<void> {
+/** Injects the fault that a phase is named after; does nothing in phases without a fault. */
+export async function injectPhaseFault(phase: string, topology: Topology): Promise<void> {
     switch (phase) {
         case "engine-killed":
             topology.endpoints.find(({ kind }) => kind === "model")?.signal("SIGKILL");
             return;
         case "log-down":
-            await setLogDown(topology, true);
+            await setLogUnavailable(topology, true);
             return;
         case "log-back":
-            await setLogDown(topology, false);
+            await setLogUnavailable(topology, false);
             return;
         default:
             return;
--- a/packages/bench/src/faults/main.ts
+++ b/packages/bench/src/faults/main.ts
@@ -1,4 +1,4 @@
-/** Measures a run with failures: `measure:faults [--workload W,...] [--seconds N] [--seed N] [--json FILE]`. */
+/** Measures a run with faults: `measure:faults [--workload W,...] [--seconds N] [--seed N] [--json FILE]`. */
 import { writeFileSync } from "node:fs";
 
 import { cac } from "cac";
@@ -10,8 +10,8 @@
 import { formatTable } from "../report/formatTable.js";
 import { summaryRows } from "../report/summaryRows.js";
 import { workloads } from "../workload/workloads.js";
-import { bringAbout } from "./bringAbout.js";
 import { faultPhases } from "./faultPhases.js";
+import { injectPhaseFault } from "./injectPhaseFault.js";
 
 const DEFAULT_SECONDS = 8;
 const DEFAULT_SEED = 20_261_202;
@@ -35,7 +35,7 @@
                 phases,
                 policy: "azureshunt",
                 seed: options.seed ?? DEFAULT_SEED,
-                fail: bringAbout,
+                fail: injectPhaseFault,
                 say: line => console.error(line),
             });
             await ended;
--- a/packages/bench/src/fleet/main.ts
+++ b/packages/bench/src/fleet/main.ts
@@ -1,4 +1,4 @@
-/** Measures a release of new weights on running processes: from the note accepted to every engine matching. */
+/** Measures a release of new weights on running processes, from acceptance of the note until every engine has switched. */
 import { demoNote } from "../demo/demoNote.js";
 import { demoPlan } from "../demo/demoPlan.js";
 import { runProgram } from "../process/runProgram.js";
@@ -6,20 +6,20 @@
 import type { TopologyPlan } from "../topology/TopologyPlan.js";
 import { waitUntil } from "../topology/waitUntil.js";
 import { withTopology } from "../topology/withTopology.js";
-import { engineHoldings } from "./engineHoldings.js";
+import { readEngineVersions } from "./readEngineVersions.js";
 import { startTraffic } from "./startTraffic.js";
 
-const REQUEST_EVERY_MS = 40;
-const LOADED_BOUND_MS = 30_000;
-const UNLOADED_BOUND_MS = 60_000;
-/** Lets daemons claim the order leases first, as they have in a running installation. */
-const LEASE_MS = 8_000;
+const REQUEST_INTERVAL_MS = 40;
+const LOAD_TIMEOUT_MS = 30_000;
+const UNLOAD_TIMEOUT_MS = 60_000;
+/** Wait for the daemons to claim the order leases, which they already hold in a running installation. */
+const LEASE_CLAIM_MS = 8_000;
 const SETTLE_MS = 2_000;
 
 const seconds = (ms: number): string => `${(ms / 1_000).toFixed(2)} s`;
 
-/** Every second engine refuses orders with an old fencing number, the others ignore it. */
-const mixedPlan = (folder: string): TopologyPlan => {
+/** Plans an installation in which every second engine refuses orders with an old fencing token; the others ignore it. */
+const mixedFencingPlan = (folder: string): TopologyPlan => {
     const plan = demoPlan(folder);
     const endpoints = plan.endpoints.map((endpoint, i) =>
         endpoint.kind === "model" && i % 2 === 0
@@ -30,21 +30,21 @@
 };
 
 const run = (): Promise<void> =>
-    withTopology("fleet", mixedPlan, async topology => {
+    withTopology("fleet", mixedFencingPlan, async topology => {
         const demo = demoNote(topology);
         await applyRelease(topology, demo.note);
-        await new Promise(resolve => setTimeout(resolve, LEASE_MS));
-        const traffic = startTraffic(topology, demo, REQUEST_EVERY_MS);
+        await new Promise(resolve => setTimeout(resolve, LEASE_CLAIM_MS));
+        const traffic = startTraffic(topology, demo, REQUEST_INTERVAL_MS);
         const inForce = await applyRelease(topology, {
             note: "second version",
             changed: { models: [{ name: demo.model, version: "v2", pieceTokens: 256, defaultMaxTokens: 32 }] },
         });
-        const holdAll = async (wanted: string): Promise<boolean> =>
-            (await engineHoldings(topology)).every(engine => engine.versions.includes(wanted));
-        const holdOnly = async (wanted: string): Promise<boolean> =>
-            (await engineHoldings(topology)).every(engine => engine.versions.join() === wanted);
-        const loaded = await waitUntil("v2 on every engine", LOADED_BOUND_MS, () => holdAll("v2"));
-        const unloaded = await waitUntil("v1 gone from every engine", UNLOADED_BOUND_MS, () => holdOnly("v2"));
+        const allHold = async (wanted: string): Promise<boolean> =>
+            (await readEngineVersions(topology)).every(engine => engine.versions.includes(wanted));
+        const allHoldOnly = async (wanted: string): Promise<boolean> =>
+            (await readEngineVersions(topology)).every(engine => engine.versions.join() === wanted);
+        const loaded = await waitUntil("v2 on every engine", LOAD_TIMEOUT_MS, () => allHold("v2"));
+        const unloaded = await waitUntil("v1 gone from every engine", UNLOAD_TIMEOUT_MS, () => allHoldOnly("v2"));
         await new Promise(resolve => setTimeout(resolve, SETTLE_MS));
         const { complete, refused, broken } = await traffic.stop();
         console.log(`note in force on ${topology.daemons.length} daemons after ${seconds(inForce)}`);
--- a/packages/bench/src/fleet/startTraffic.ts
+++ b/packages/bench/src/fleet/startTraffic.ts
@@ -4,21 +4,21 @@
 
 const MAX_TOKENS = 8;
 
-/** How the requests of the traffic have ended so far. */
+/** Requests ended so far, by outcome. */
 type TrafficCounts = { readonly complete: number; readonly refused: number; readonly broken: number; };
 
-/** Requests that go on in the background. */
+/** Background requests. */
 type Traffic = {
-    /** Sends no more, waits for the last answers, and counts. */
+    /** Stops sending and waits for the last answers. */
     readonly stop: () => Promise<TrafficCounts>;
 };
 
 /**
- * Sends streamed chats at a steady pace, each through the next daemon.
+ * Sends streamed chats at a fixed interval, through the daemons in rotation.
  *
- * @param everyMs milliseconds between two requests
+ * @param intervalMs time between two requests
  */
-export function startTraffic(topology: Topology, demo: ReturnType<typeof demoNote>, everyMs: number): Traffic {
+export function startTraffic(topology: Topology, demo: ReturnType<typeof demoNote>, intervalMs: number): Traffic {
     const counts = { complete: 0, refused: 0, broken: 0, sent: 0 };
     const running = new Set<Promise<void>>();
 
@@ -46,7 +46,7 @@
         counts.sent += 1;
         const one = send(counts.sent).finally(() => running.delete(one));
         running.add(one);
-    }, everyMs);
+    }, intervalMs);
 
     return {
         stop: async () => {
