--- a/packages/bench/src/checkHistory/injectFaults.ts
+++ b/packages/bench/src/checkHistory/injectFaults.ts
@@ -24,17 +24,17 @@
         },
     });
 
-/** Kills a daemon and restarts it; if `replaced`, it is removed from the platform's VM list in the meantime. */
-const restart = async (topology: Topology, daemon: DaemonProcess, replaced: boolean, random: () => number) => {
+/** Kills a daemon and restarts it; if `isReplaced`, it is removed from the platform's VM list in the meantime. */
+const restart = async (topology: Topology, daemon: DaemonProcess, isReplaced: boolean, random: () => number) => {
     const running = daemon.process();
     running.signal("SIGKILL");
     await running.exited;
-    if (replaced) {
+    if (isReplaced) {
         await callHttp({ method: "DELETE", url: `${topology.platform.url}/vms/${daemon.vm}` });
     }
-    await delay(replaced ? REPLACEMENT_DELAY_MS : MAX_RESTART_DELAY_MS * random());
+    await delay(isReplaced ? REPLACEMENT_DELAY_MS : MAX_RESTART_DELAY_MS * random());
     daemon.restart();
-    if (replaced) {
+    if (isReplaced) {
         await declareVm(topology, daemon);
     }
 };
--- a/packages/bench/src/configuration/main.ts
+++ b/packages/bench/src/configuration/main.ts
@@ -23,7 +23,7 @@
 
 type Daemon = Topology["daemons"][number];
 
-const seconds = (ms: number): string => `${(ms / 1_000).toFixed(2)} s`;
+const formatSeconds = (ms: number): string => `${(ms / 1_000).toFixed(2)} s`;
 
 const setSwitches = async (url: string, switches: object): Promise<void> => {
     const { status, text } = await callHttp({ method: "POST", url: `${url}/control`, body: switches });
@@ -60,16 +60,16 @@
     await setSwitches(`${linkUrl}/routes/platform`, { cut: true });
     const url = `${topology.daemons[0]?.admin ?? ""}/admin/v1/keys/key-drivers`;
     await callHttp({ method: "DELETE", url, key: topology.adminKey });
-    const took = await waitUntil("the withdrawn key to be refused", TIMEOUT_MS, isRefused);
+    const elapsedMs = await waitUntil("the withdrawn key to be refused", TIMEOUT_MS, isRefused);
     await setSwitches(`${linkUrl}/routes/platform`, { cut: false });
-    return `withdrawn key refused by a daemon cut off from the platform after ${seconds(took)}`;
+    return `withdrawn key refused by a daemon cut off from the platform after ${formatSeconds(elapsedMs)}`;
 };
 
 const raceOperators = async (topology: Topology): Promise<string> => {
-    const [one, two] = topology.daemons as readonly [Daemon, Daemon];
-    const base = await revisionOf(topology, one);
+    const [first, second] = topology.daemons as readonly [Daemon, Daemon];
+    const base = await revisionOf(topology, first);
     const kinds = await Promise.all(
-        [one, two].map((daemon, i) => postRelease(topology, daemon, rateChange(6_000 + i), `?base=${base}`)),
+        [first, second].map((daemon, i) => postRelease(topology, daemon, rateChange(6_000 + i), `?base=${base}`)),
     );
     expectThat(kinds.filter(kind => kind === "accepted").length === 1, "one of two racing notes accepted", kinds);
     return `racing operators: ${kinds.join(" and ")}`;
@@ -91,19 +91,19 @@
 
 /** Waits until the log has dropped the first note and contains a snapshot; returns the log's first offset. */
 const waitForSnapshot = async ({ platform }: Topology): Promise<number> => {
-    const seen = { start: 0 };
+    const log = { start: 0 };
     await waitUntil("a snapshot in a log without its first records", TIMEOUT_MS, async () => {
         const from = `${platform.url}/log/configuration?limit=1000&waitMs=0&from=`;
-        const { status, text } = await callHttp({ method: "GET", url: `${from}${seen.start}` });
+        const { status, text } = await callHttp({ method: "GET", url: `${from}${log.start}` });
         const page = JSON.parse(text) as {
             readonly start: number;
             readonly records?: readonly { readonly data: { readonly kind?: string; }; }[];
         };
-        seen.start = page.start;
+        log.start = page.start;
         return status === 200 && page.start > 1 &&
             page.records?.some(record => record.data.kind === "snapshot") === true;
     });
-    return seen.start;
+    return log.start;
 };
 
 const killAndRestartAll = async (topology: Topology): Promise<string> => {
@@ -119,12 +119,12 @@
         await daemon.process().exited;
     }));
     topology.daemons.forEach(daemon => daemon.restart());
-    const took = await waitUntil(`revision ${revision} on every daemon`, TIMEOUT_MS, async () => {
+    const elapsedMs = await waitUntil(`revision ${revision} on every daemon`, TIMEOUT_MS, async () => {
         const revisions = await Promise.all(topology.daemons.map(daemon => revisionOf(topology, daemon)));
         return revisions.every(each => each >= revision);
     });
     return `all ${topology.daemons.length} daemons killed and restarted, log begins at offset ${start}: revision `
-        + `${revision} in force everywhere after ${seconds(took)}`;
+        + `${revision} in force everywhere after ${formatSeconds(elapsedMs)}`;
 };
 
 const run = (): Promise<void> =>
@@ -132,12 +132,14 @@
         const link = await startStandIn("link", "link", { route: `platform=${new URL(topology.platform.url).host}` });
         try {
             const demo = demoNote(topology);
-            const drivers = demo.organisations.find(organisation => organisation.id === "drivers")?.key ?? "";
+            const driversKey = demo.organisations.find(organisation => organisation.id === "drivers")?.key ?? "";
             const disconnected = topology.daemons.at(-1) as Daemon;
             await routeThroughLink(disconnected, topology.platform.url, link.url);
-            console.log(`first note in force everywhere after ${seconds(await applyRelease(topology, demo.note))}`);
+            console.log(
+                `first note in force everywhere after ${formatSeconds(await applyRelease(topology, demo.note))}`,
+            );
             const watch = watchRevisions(topology);
-            console.log(await withdrawKeyWhileDisconnected(topology, disconnected, drivers, link.url));
+            console.log(await withdrawKeyWhileDisconnected(topology, disconnected, driversKey, link.url));
             console.log(await raceOperators(topology));
             console.log(await loseAppendAnswer(topology));
             console.log(await killAndRestartAll(topology));
--- a/packages/bench/src/fleet/main.ts
+++ b/packages/bench/src/fleet/main.ts
@@ -16,7 +16,7 @@
 const LEASE_CLAIM_MS = 8_000;
 const SETTLE_MS = 2_000;
 
-const seconds = (ms: number): string => `${(ms / 1_000).toFixed(2)} s`;
+const formatSeconds = (ms: number): string => `${(ms / 1_000).toFixed(2)} s`;
 
 /** Plans an installation in which every second engine refuses orders with an old fencing token; the others ignore it. */
 const mixedFencingPlan = (folder: string): TopologyPlan => {
@@ -35,21 +35,21 @@
         await applyRelease(topology, demo.note);
         await new Promise(resolve => setTimeout(resolve, LEASE_CLAIM_MS));
         const traffic = startTraffic(topology, demo, REQUEST_INTERVAL_MS);
-        const inForce = await applyRelease(topology, {
+        const inForceMs = await applyRelease(topology, {
             note: "second version",
             changed: { models: [{ name: demo.model, version: "v2", pieceTokens: 256, defaultMaxTokens: 32 }] },
         });
-        const allHold = async (wanted: string): Promise<boolean> =>
-            (await readEngineVersions(topology)).every(engine => engine.versions.includes(wanted));
-        const allHoldOnly = async (wanted: string): Promise<boolean> =>
-            (await readEngineVersions(topology)).every(engine => engine.versions.join() === wanted);
-        const loaded = await waitUntil("v2 on every engine", LOAD_TIMEOUT_MS, () => allHold("v2"));
-        const unloaded = await waitUntil("v1 gone from every engine", UNLOAD_TIMEOUT_MS, () => allHoldOnly("v2"));
+        const allHold = async (version: string): Promise<boolean> =>
+            (await readEngineVersions(topology)).every(engine => engine.versions.includes(version));
+        const allHoldOnly = async (version: string): Promise<boolean> =>
+            (await readEngineVersions(topology)).every(engine => engine.versions.join() === version);
+        const loadMs = await waitUntil("v2 on every engine", LOAD_TIMEOUT_MS, () => allHold("v2"));
+        const unloadMs = await waitUntil("v1 gone from every engine", UNLOAD_TIMEOUT_MS, () => allHoldOnly("v2"));
         await new Promise(resolve => setTimeout(resolve, SETTLE_MS));
         const { complete, refused, broken } = await traffic.stop();
-        console.log(`note in force on ${topology.daemons.length} daemons after ${seconds(inForce)}`);
-        console.log(`v2 held by every engine after ${seconds(inForce + loaded)}`);
-        console.log(`v1 gone from every engine after ${seconds(inForce + loaded + unloaded)}`);
+        console.log(`note in force on ${topology.daemons.length} daemons after ${formatSeconds(inForceMs)}`);
+        console.log(`v2 held by every engine after ${formatSeconds(inForceMs + loadMs)}`);
+        console.log(`v1 gone from every engine after ${formatSeconds(inForceMs + loadMs + unloadMs)}`);
         console.log(`requests meanwhile: ${complete} complete, ${refused} refused, ${broken} broken`);
     });
 
--- a/packages/bench/src/fleet/startTraffic.ts
+++ b/packages/bench/src/fleet/startTraffic.ts
@@ -22,10 +22,10 @@
     const counts = { complete: 0, refused: 0, broken: 0, sent: 0 };
     const running = new Set<Promise<void>>();
 
-    const send = async (n: number): Promise<void> => {
-        const daemon = topology.daemons[n % topology.daemons.length];
-        const organisation = demo.organisations[n % demo.organisations.length];
-        const content = `question ${n}: which chain fits?`;
+    const send = async (index: number): Promise<void> => {
+        const daemon = topology.daemons[index % topology.daemons.length];
+        const organisation = demo.organisations[index % demo.organisations.length];
+        const content = `question ${index}: which chain fits?`;
         try {
             const messages = [{ role: "user", content }];
             const chat = await streamChat(
@@ -44,8 +44,8 @@
     };
     const timer = setInterval(() => {
         counts.sent += 1;
-        const one = send(counts.sent).finally(() => running.delete(one));
-        running.add(one);
+        const request = send(counts.sent).finally(() => running.delete(request));
+        running.add(request);
     }, intervalMs);
 
     return {
--- a/packages/bench/src/histories/runRequestHistory.ts
+++ b/packages/bench/src/histories/runRequestHistory.ts
@@ -73,7 +73,7 @@
     const daemon = pick(topology.daemons);
     const maxTokens = isCrash ? MIN_ANSWER_TOKENS : random(MIN_ANSWER_TOKENS, MAX_ANSWER_TOKENS);
     await sleep(random(0, plan.spanMs));
-    const before = daemon.process();
+    const processBefore = daemon.process();
     const prompt = promptOf(index, isCrash ? CRASH_TEXT : "question ");
     const outcome = await readStream({
         caller: daemon.caller,
@@ -89,7 +89,7 @@
         promptTokens: prompt.length / BYTES_PER_TOKEN,
         maxTokens,
         ...outcome,
-        daemonKilled: before.hasExited() || daemon.process() !== before,
+        daemonKilled: processBefore.hasExited() || daemon.process() !== processBefore,
         crashes: isCrash,
     };
 }
@@ -122,14 +122,14 @@
 /** Sends a prompt that crashes engines several times as the same caller, through randomly chosen daemons. */
 async function sendCrashStreams(context: HistoryContext): Promise<readonly RequestEvent[]> {
     const index = context.plan.streams + 1;
-    const once = (left: number): Promise<readonly RequestEvent[]> =>
+    const sendRemaining = (left: number): Promise<readonly RequestEvent[]> =>
         left === 0
             ? Promise.resolve([])
             : sendStream({ ...context, plan: { ...context.plan, spanMs: 500 } }, index, true).then(async event => [
                 event,
-                ...await once(left - 1),
+                ...await sendRemaining(left - 1),
             ]);
-    return once(CRASH_ATTEMPTS);
+    return sendRemaining(CRASH_ATTEMPTS);
 }
 
 async function runFault(context: HistoryContext, name: string): Promise<void> {
@@ -184,7 +184,7 @@
     const served = streams.flatMap(event =>
         event.kind === "stream" && !event.crashes && event.text !== "" ? [event] : []
     );
-    const ask = async (event: (typeof served)[number]): Promise<RequestEvent> => {
+    const readReference = async (event: (typeof served)[number]): Promise<RequestEvent> => {
         const index = event.promptTokens - MIN_PROMPT_TOKENS;
         const { text } = await callHttp({
             method: "POST",
@@ -204,7 +204,7 @@
         const answer = JSON.parse(text) as { readonly choices?: readonly { readonly text?: string; }[]; };
         return { kind: "reference", promptTokens: event.promptTokens, text: answer.choices?.[0]?.text ?? "" };
     };
-    return Promise.all(served.map(ask));
+    return Promise.all(served.map(readReference));
 }
 
 /**
@@ -224,14 +224,14 @@
         const faults = plan.faults.filter(name => name !== "crash-prompt").map(name => runFault(context, name));
         const streams = Array.from({ length: plan.streams }, (_, index) => sendStream(context, index, false));
         const calls = Array.from({ length: plan.keys * 2 }, (_, index) => sendCalls(context, index, index % 2 === 0));
-        const crashed = crashes ? await sendCrashStreams(context) : [];
-        const outcomes = [...await Promise.all(streams), ...(await Promise.all(calls)).flat(), ...crashed];
+        const crashStreams = crashes ? await sendCrashStreams(context) : [];
+        const outcomes = [...await Promise.all(streams), ...(await Promise.all(calls)).flat(), ...crashStreams];
         await Promise.all(faults);
         const runs = readRuns(context, folder);
-        const died: readonly RequestEvent[] = topology.endpoints
+        const engineCrashes: readonly RequestEvent[] = topology.endpoints
             .filter(({ kind, hasExited }) => crashes && kind === "model" && hasExited())
             .map(({ name }) => ({ kind: "engine-crash", endpoint: name }));
-        return [...outcomes, ...runs, ...died, ...await readReferences(context, outcomes)];
+        return [...outcomes, ...runs, ...engineCrashes, ...await readReferences(context, outcomes)];
     }
     finally {
         await topology.stop();
