--- a/packages/router/src/allowance/PeerLiveness.ts
+++ b/packages/router/src/allowance/PeerLiveness.ts
@@ -9,6 +9,9 @@
     readonly silent: readonly Spender[];
     /** Time until all VMs have received what one of them spends. */
     readonly propagationMs: Millis;
-    /** True until the list of VMs has been read: there may be more of them. */
+    /**
+     * True if there may be more VMs: the list of VMs has not been read, and no relay's counts of all VMs are used in
+     * its place. `undefined` counts as false.
+     */
     readonly isPartial?: boolean;
 };
--- a/packages/router/src/allowance/SharedAllowance.ts
+++ b/packages/router/src/allowance/SharedAllowance.ts
@@ -20,10 +20,12 @@
     readonly burst: Tokens;
     /** Tokens that may be spent; below 0 if the VMs together spent more than each knew of. */
     readonly level: Tokens;
+    /** Time to which the level was advanced. */
     readonly at: Millis;
     readonly openedAt: Millis;
     /**
-     * How far below 0 the level may go before requests are refused; 0 once this process knows what the others spend.
+     * How far below 0 the level may go before requests are refused. It shrinks to 0 within 10 s of the opening, and is
+     * 0 while there may be more VMs than are known.
      */
     readonly overdraft: Tokens;
     /** Tokens spent by this process. */
--- a/packages/router/src/allowance/admittedFraction.ts
+++ b/packages/router/src/allowance/admittedFraction.ts
@@ -2,7 +2,7 @@
 
 /** What decides which fraction of an organisation's demand is admitted. */
 type DemandView = {
-    /** Tokens in the bucket, as this VM computes them. */
+    /** Tokens that may be spent now, as this VM computes them: those in the bucket, and the overdraft. */
     readonly level: Tokens;
     readonly ratePerSecond: Tokens;
     /** Tokens per second that the organisation's callers request at all VMs. */
--- a/packages/router/src/allowance/advanceShared.ts
+++ b/packages/router/src/allowance/advanceShared.ts
@@ -12,7 +12,8 @@
  * Advances an allowance to `now`: refills it and assumes spending of silent VMs.
  *
  * If a failure domain is cut off, both sides continue, and together they would spend twice the rate. To prevent this,
- * each silent VM is assumed to spend an even share of the rate, so that the refills of both sides add up to the rate.
+ * each silent VM is assumed to spend an even share of the rate, so that the refills of both sides add up to the rate. A
+ * spender that stands for several silent VMs is recorded with one share only.
  */
 export function advanceShared(
     allowance: SharedAllowance,
@@ -22,9 +23,9 @@
     const seconds = Math.max(0, now - allowance.at) / MS_PER_SECOND;
     const share = allowance.ratePerSecond * seconds / (liveness.peers + 1);
     const refill = share * (liveness.peers + 1 - liveness.silent.length);
-    const assumed = liveness.silent.map(vm => {
-        const known = allowance.peers.get(vm) ?? neverReceived;
-        return [vm, {
+    const assumed = liveness.silent.map(spender => {
+        const known = allowance.peers.get(spender) ?? neverReceived;
+        return [spender, {
             ...known,
             assumed: known.assumed + share,
             assumedFrom: known.assumedFrom ?? allowance.at,
--- a/packages/router/src/allowance/createAllowanceQueue.ts
+++ b/packages/router/src/allowance/createAllowanceQueue.ts
@@ -28,8 +28,8 @@
 /** Charges requests to their organisations in order of arrival. */
 type AllowanceQueue = {
     /**
-     * Resolves to Right once the tokens are spent, to Left if there will be none within the time that the request may
-     * wait.
+     * Resolves to Right once the tokens are spent; to Left if there will be none within the time that the request may
+     * wait, or if its caller has disconnected when a queued request reaches the head and is served.
      */
     readonly charge: (charge: Charge) => Promise<Either<Refusal, void>>;
 };
--- a/packages/router/src/allowance/createAllowances.ts
+++ b/packages/router/src/allowance/createAllowances.ts
@@ -43,21 +43,26 @@
      * Takes in the spending that a beacon reports.
      *
      * @param role role of the sender as seen by this VM
-     * @param isRestarted whether the sender is another process than at its previous beacon
+     * @param isRestarted whether the sender is another process than at its previous datagram; true for the first
+     * datagram of a new process only, and false if the old process had sent a final beacon
      */
     readonly applyBeacon: (beacon: SpendingUpdate, role: VmRole, isRestarted: boolean) => void;
     /** Lowest level of all allowances, each as of its last use; 0 if there are none. */
     readonly minLevel: () => Tokens;
     /** By organisation: tokens spent by this process, and its demand in tokens per second. */
     readonly spent: () => Beacon["spent"];
-    /** The same for the VMs whose state this relay sends on, by receiver: without what the receiver spends itself. */
+    /**
+     * As `spent`, summed over the VMs whose state this relay sends on. The returned function leaves out the part of the
+     * receiver; if the receiver is `undefined`, it returns the whole sums.
+     */
     readonly relayedSpent: (scope: "domain" | "fleet") => (target: VmId | undefined) => Beacon["relayedSpent"];
 };
 
 const MS_PER_SECOND = 1_000;
 /**
- * Time within which a process sends its first spending. An older process that is unknown here has already sent its
- * spending to relays, or sends what was relayed before it became a relay itself.
+ * Maximum age of a process whose first counter here is debited whole: a process sends its first spending within this
+ * time. The counter of an older process contains spending that was already received: its own through relays, or, if it
+ * became a relay, that of others through earlier relays.
  */
 const FIRST_UPDATE_MS: Millis = 3_000;
 
@@ -124,7 +129,7 @@
         const admitted = isAdmitted(organisation, allowance);
         const spent = admitted ? spendShared(allowance, tokens) : undefined;
         all.set(organisation.id, spent ?? allowance);
-        // If the bucket holds tokens, updates of other VMs decide, so the caller waits until they have arrived.
+        // A request outside the admitted part waits until the other VMs' spending has arrived.
         const waitMs = admitted ? refillWaitMs(allowance) : Math.max(refillWaitMs(allowance), liveness().propagationMs);
         return spent === undefined ? Left(refusalAt(organisation, allowance, tokens, waitMs)) : Right(undefined);
     };
@@ -134,6 +139,12 @@
             all.set(organisation.id, refundShared(allowance, tokens));
         }
     };
+    /**
+     * Debits what a spender's counter adds.
+     *
+     * @returns the tokens that the counter adds, including those already assumed; 0 if the organisation's allowance has
+     * not been opened here
+     */
     const debit = (id: OrganisationId, spender: Spender, spent: Tokens, isNew: boolean): Tokens => {
         const allowance = all.get(id);
         if (allowance === undefined) {
--- a/packages/router/src/allowance/createOrganisationDemand.ts
+++ b/packages/router/src/allowance/createOrganisationDemand.ts
@@ -3,7 +3,7 @@
 import { createDemand } from "../placement/createDemand.js";
 import type { Spender } from "./Spender.js";
 
-/** The demand of organisations, at this VM and at the others. */
+/** The demand of organisations in tokens per second, at this VM and at the others. */
 type OrganisationDemand = {
     readonly record: (organisation: OrganisationId, tokens: Tokens) => void;
     /** Tokens per second that an organisation requests at this VM. */
@@ -21,7 +21,7 @@
 const MS_PER_SECOND = 1_000;
 /** Window of the own demand; short, so that a sudden peak shows before much of it is admitted. */
 const WINDOW_MS: Millis = 1_000;
-/** How long received demand counts: with many VMs, two beacons of a VM may be lost in this time. */
+/** How long received demand counts: even with many VMs, two beacons of a VM may be lost in this time. */
 const VALID_MS: Millis = 3_000;
 
 /** Creates the demand records, empty. */
--- a/packages/router/src/allowance/createRelayCounters.ts
+++ b/packages/router/src/allowance/createRelayCounters.ts
@@ -14,7 +14,10 @@
     readonly rows: readonly (readonly [OrganisationId, Tokens])[];
     /** Since when spending of these VMs has been assumed because they were silent; `undefined` if none was. */
     readonly assumedFrom: (organisation: OrganisationId) => Millis | undefined;
-    /** Whether the relay's process started after the organisation's allowance was opened here. */
+    /**
+     * Whether the relay's process started after the organisation's allowance was opened here, and is at most 3 s old;
+     * false if the allowance has not been opened.
+     */
     readonly isStartedLater: (organisation: OrganisationId) => boolean;
 };
 
@@ -34,20 +37,24 @@
     /** Values of the counter at the last update of the followed relay, and at the one before. */
     readonly marks: readonly [last: Tokens, before: Tokens];
 };
+/** The relays that send the spending of the same VMs. */
 type Group = {
+    /** The relay whose counters are debited; `undefined` until the first update with rows. */
     followed: string | undefined;
+    /** When the followed relay's last update was received; `-Infinity` until then. */
     receivedAt: Millis;
+    /** Sequence number of that relay's last update with rows; -1 until then. */
     sequence: number;
     readonly relays: Map<string, Map<OrganisationId, Counter>>;
 };
 
-/** Relay processes remembered for one group: those alive, and some that have ended. */
+/** Relay processes remembered for one group; beyond that, the one added first is dropped, even if it is alive. */
 const MAX_REMEMBERED_RELAYS = 8;
 
 /**
  * Creates the counters of relays. Two relays send the spending of the same VMs, and each counts from its own start. One
- * of them is followed; when it becomes silent, the other continues from where the first had come to, so that nothing is
- * left out and at most one round's spending counters twice.
+ * of them is followed; when it becomes silent, the other continues from the value that its own counter had around the
+ * last update of the first, so that nothing is left out and at most one round's spending counts twice.
  *
  * If the relay that becomes silent had missed a datagram that the other one received, the spending in it would never be
  * counted. To prevent this, the other one continues from its value of one round earlier: the first had received all of
--- a/packages/router/src/allowance/receiveSpending.ts
+++ b/packages/router/src/allowance/receiveSpending.ts
@@ -8,7 +8,7 @@
 
 /**
  * Debits what a spender's counter adds. Spending that was already assumed while the spender was silent is not debited
- * twice. The counter shrinks if tokens are refunded.
+ * twice; what was assumed beyond the counter is not given back. The counter shrinks if tokens are refunded.
  *
  * @param spent the counter: all tokens that the spender has spent
  * @param isNew whether to debit the whole counter; see `addedSpending`
@@ -22,7 +22,8 @@
 ): SharedAllowance {
     const known = allowance.peers.get(spender);
     if (known?.spent === spent && known.assumed === 0 && now - known.receivedAt < EXPIRY_MS / 2) {
-        // Fast path: most VMs have spent nothing for most organisations since their last beacon.
+        // Fast path: most VMs have spent nothing for most organisations since their last beacon. `receivedAt` stays, so
+        // it must be renewed before the counter expires.
         return allowance;
     }
     const added = addedSpending(isExpired(known, now) ? undefined : known?.spent, spent, isNew);
--- a/packages/router/src/allowance/waitForAllowance.ts
+++ b/packages/router/src/allowance/waitForAllowance.ts
@@ -4,7 +4,7 @@
 
 /** What decides when an organisation's allowance is used up. */
 type AllowanceQuestion = {
-    /** Time until the allowance holds tokens again if nobody else spends. */
+    /** Time until the allowance holds tokens again if nobody spends; 0 if it holds some now. */
     readonly refillWaitMs: Millis;
     /** Tokens of the organisation's requests that are queued here before this one. */
     readonly queuedTokens: Tokens;
--- a/packages/router/src/peers/Beacon.ts
+++ b/packages/router/src/peers/Beacon.ts
@@ -31,26 +31,36 @@
     /** Sending time on the sender's monotonic clock; the receiver echoes it. */
     readonly sentAt: Millis;
     /**
-     * Newest timestamp of the receiver that the sender has received, and the time since it arrived. It gives the
-     * receiver an upper bound for the age of this beacon, however long the datagram was delayed.
+     * Timestamp in the last datagram that the sender received from the receiver, and the time since it arrived. It
+     * gives the receiver an upper bound for the age of this beacon, however long the datagram was delayed. `undefined`
+     * if there is no such datagram.
      */
     readonly echo: { readonly incarnation: Incarnation; readonly sentAt: Millis; readonly heldMs: Millis; } | undefined;
-    /** What the sender can do besides its requests, relative to other VMs. */
+    /**
+     * Configured capacity of the sender, in cores; the VMs with the highest become relays. 0 if an earlier version does
+     * not state it.
+     */
     readonly capacity: number;
     readonly scope: BeaconScope;
     /** VMs that the receiver may need to know. */
     readonly vms: readonly KnownVm[];
-    /** Number of VMs whose state is relayed, by failure domain, including VMs that are not listed in `vms`. */
+    /**
+     * Number of VMs by failure domain, including VMs that are not listed in `vms`. In scope `domain`, those of the
+     * sender's domain that are no relays; in scope `fleet`, all VMs, with the sender and the receiver. Those that are
+     * gone are left out. Empty in other scopes and in urgent beacons.
+     */
     readonly domains: readonly DomainCount[];
     /** As `spent`, for the VMs whose state is relayed; a counter that grows as long as the sender's process runs. */
     readonly relayedSpent: readonly (readonly [OrganisationId, Tokens, Tokens])[];
-    /** As `load`, for the VMs whose state is relayed; rows that are left out have not changed. */
+    /** As `load`, for the VMs whose state is relayed. An urgent beacon contains the changed rows only, a round all. */
     readonly relayedLoad: readonly (readonly [EndpointName, EndpointShare])[];
     /** As `demand`, for the VMs whose state is relayed. */
     readonly relayedDemand: Tokens;
+    /** Revision of the sender's configuration; -1 if it has none. */
     readonly revision: number;
     /** Age of the confirmation that `revision` is the newest one; `undefined` if there was none. */
     readonly confirmedMs: Millis | undefined;
+    /** Target version of the weights, by model. */
     readonly weights: readonly (readonly [ModelName, number])[];
     /** By organisation: tokens that the sender has spent since its start, and tokens requested of it per second. */
     readonly spent: readonly (readonly [OrganisationId, Tokens, Tokens])[];
@@ -62,9 +72,15 @@
     readonly ordered: readonly (readonly [EndpointName, number, Millis])[];
     /** Versions of the weights that engines are known to have loaded. */
     readonly engineVersions: readonly (readonly [EndpointName, number])[];
-    /** Prompt parts that engines have prefilled, or the cache store has stored, since the sender's last round. */
+    /**
+     * Prompt parts that engines have prefilled, or the cache store has stored, since the sender's last round, by
+     * holder: the engine or the cache store.
+     */
     readonly cached: readonly (readonly [string, readonly PrefixPart[]])[];
-    /** Newest record of the order lease, and for how long the sender has known it. */
+    /**
+     * Newest record of the order lease: its offset in the store's topic, the VM that it names as holder, and for how
+     * long the sender has known it. `undefined` if the sender knows none.
+     */
     readonly lease: { readonly offset: number; readonly holder: VmId; readonly ageMs: Millis; } | undefined;
     /** Requests that ran on an endpoint when it died, and the endpoint with its incarnation; sent for some seconds. */
     readonly deaths: readonly (readonly [RequestFingerprint, string])[];
@@ -72,7 +88,7 @@
     readonly quarantined: readonly (readonly [RequestFingerprint, Millis])[];
     /** Digest of the registry entries that the sender knows, and an upper bound for their age. */
     readonly registry: { readonly digest: string; readonly ageMs: Millis; } | undefined;
-    /** Whether the sender reads the store itself. */
+    /** Whether the store has answered the sender lately, so that the sender can read it for others. */
     readonly hasStore: boolean;
     /** True in the final beacon that a VM sends on shutdown. */
     readonly isLeaving: boolean;
--- a/packages/router/src/peers/DomainCount.ts
+++ b/packages/router/src/peers/DomainCount.ts
@@ -6,6 +6,9 @@
     readonly vms: number;
     /** Number of these VMs that are silent. */
     readonly silent: number;
-    /** Time since the relay last received anything of any of them. */
+    /**
+     * Time since any of them was last seen, by this relay or another, at most `peerTiming.goneMs`; 0 for the relay's
+     * own failure domain.
+     */
     readonly ageMs: Millis;
 };
--- a/packages/router/src/peers/EndpointShare.ts
+++ b/packages/router/src/peers/EndpointShare.ts
@@ -1,8 +1,11 @@
 import type { Tokens } from "@azureshunt/core";
 
-/** Load of one VM's requests at one endpoint. */
+/** Load at one endpoint of the requests of one VM, or of several VMs together. */
 export type EndpointShare = {
+    /** Number of requests there, including those whose answer has not started. */
     readonly running: number;
+    /** Prompt tokens to prefill for the requests whose answer has not started. */
     readonly waitingTokens: Tokens;
+    /** Tokens of prompts and answers that the requests will occupy in the KV cache. */
     readonly memoryTokens: Tokens;
 };
--- a/packages/router/src/peers/KnownVm.ts
+++ b/packages/router/src/peers/KnownVm.ts
@@ -6,9 +6,9 @@
     /** `host:port` for beacons. */
     readonly address: string;
     readonly failureDomain: FailureDomain;
-    /** What it can do besides its requests, relative to other VMs. */
+    /** Configured capacity, in cores; the VMs with the highest become relays. 0 if it does not state it. */
     readonly capacity: number;
-    /** Whether it reads the store itself. */
+    /** Whether the store has answered it lately, so that it can read the store for others. */
     readonly hasStore: boolean;
     /** Time since it was last seen. */
     readonly ageMs: Millis;
--- a/packages/router/src/peers/Members.ts
+++ b/packages/router/src/peers/Members.ts
@@ -20,9 +20,13 @@
 
 /** What a relay counts of the VMs from which this VM receives nothing directly. */
 type RelaySummary = {
-    /** Lower bound for the time at which it was sent. */
+    /**
+     * Lower bound for the time at which it was sent; the time of receipt if the relay has not yet echoed a timestamp of
+     * this process.
+     */
     readonly at: Millis;
     readonly domains: readonly DomainCount[];
+    /** Prompt tokens per millisecond. */
     readonly demand: Tokens;
 };
 
--- a/packages/router/src/peers/announcementDue.ts
+++ b/packages/router/src/peers/announcementDue.ts
@@ -11,13 +11,19 @@
     readonly isAlone: boolean;
     /** Time since the list was read; `Infinity` until then. */
     readonly listedMs: Millis;
-    /** Time since this VM was written into the list, or found in it; `Infinity` until then. */
+    /**
+     * Time since this VM was written into the list, or since the start of its process if it was found there; `Infinity`
+     * until then.
+     */
     readonly writtenMs: Millis;
 };
 
 /** Time in which VMs find each other through their seeds on a first start. */
 const SEEDS_MS: Millis = 1_000;
-/** A VM that takes itself for a relay for this long is one; until they have received beacons, all VMs do. */
+/**
+ * Time for which a VM must take itself for a relay before it counts as one here: every VM does so until it has received
+ * beacons of others.
+ */
 const RELAY_MS: Millis = 1_500;
 /** Time until a VM that is alone, or that was written, reads the list again: others may have been written meanwhile. */
 const RECHECK_MS: Millis = 2_000;
--- a/packages/router/src/peers/beaconTargets.ts
+++ b/packages/router/src/peers/beaconTargets.ts
@@ -11,18 +11,21 @@
 
 type Member = NonNullable<ReturnType<Members["known"]["get"]>>;
 
-/** Beacon intervals for which a VM that took this one for a relay gets referrals after its last beacon. */
-const VISIT_INTERVALS = 2;
+/**
+ * Beacon intervals for which a VM gets referrals after its last beacon, if that was of scope `vm`: it may take this VM
+ * for a relay.
+ */
+const REFERRAL_INTERVALS = 2;
 
 const referralTargets = (members: Members, now: Millis): readonly Member[] =>
     [...members.known.values()].filter(({ lastReceived }) =>
         lastReceived?.beacon.scope === "vm" &&
-        now - lastReceived.receivedAt < VISIT_INTERVALS * beaconInterval(members.known.size)
+        now - lastReceived.receivedAt < REFERRAL_INTERVALS * beaconInterval(members.known.size)
     );
 
 /**
- * Lists the silent VMs of a failure domain that get a beacon now: those that would be its relays, and one of the others
- * in rotation.
+ * Lists the VMs of a failure domain that are not alive and get a beacon now: those that would be its relays, and one of
+ * the others in rotation.
  *
  * If both relays of a failure domain die at once, or the domain was cut off for a minute, nobody sends to the other VMs
  * there any more, and without these beacons each side would wait for the other.
@@ -37,17 +40,17 @@
 };
 
 /**
- * Lists the silent VMs that get a beacon now: some of each failure domain that has fewer live relays than it should
- * have. A VM that receives nothing from its own failure domain sends to all VMs there: when both relays have died, each
- * remaining VM is alone, and none of them knows which of the others is alive.
+ * Lists the VMs that are not alive and get a beacon now: some of each failure domain that has fewer live relays than it
+ * should have. A VM that receives nothing from its own failure domain sends to all VMs there: when both relays have
+ * died, each remaining VM is alone, and none of them knows which of the others is alive.
  */
 const silentTargets = (members: Members, isRelay: boolean, turn: number, now: Millis): readonly Member[] => {
     const own = [...members.known.values()].filter(({ failureDomain }) => failureDomain === members.failureDomain);
-    const isAlone = own.every(member => !isAlive(member, now));
+    const isAloneInDomain = own.every(member => !isAlive(member, now));
     const others = (isRelay ? domainsOf(members) : [members.failureDomain])
         .filter(domain => relaysOf(members, domain, now).length < peerTiming.relays)
         .flatMap(domain => silentInDomain(members, domain, turn, now));
-    return [...(isAlone && own.some(({ lastReceived }) => lastReceived !== undefined) ? own : []), ...others];
+    return [...(isAloneInDomain && own.some(({ lastReceived }) => lastReceived !== undefined) ? own : []), ...others];
 };
 
 /**
--- a/packages/router/src/peers/createBeaconEncoder.ts
+++ b/packages/router/src/peers/createBeaconEncoder.ts
@@ -7,7 +7,7 @@
 
 type Common = Omit<Beacon, keyof PerTarget>;
 
-/** Lists whose rows may be spread over several datagrams; the sizes of cached parts go with their keys. */
+/** Lists whose rows may be spread over several datagrams; the tokens of cached parts go with their keys. */
 type RowList =
     | "weights"
     | "spent"
@@ -25,7 +25,10 @@
 
 /** Maximum size of a datagram, in bytes, that all usual links carry without fragmentation. */
 const DATAGRAM_BYTES = 1_200;
-/** Bytes reserved for what each datagram contains besides rows. */
+/**
+ * Bytes reserved for what each datagram contains besides rows. `load` is part of that: the first datagram contains it
+ * whole, however many endpoints it lists.
+ */
 const HEAD_BYTES = 420;
 /** Prompt parts per row, so that a row is small compared with a datagram. */
 const PARTS_PER_ROW = 8;
@@ -39,7 +42,7 @@
         (_, i) => values.slice(i * size, (i + 1) * size),
     );
 
-/** Makes the rows of cached parts. Keys and sizes of parts are two lists on the wire, in the same order. */
+/** Makes the rows of cached parts. Keys and tokens of parts are two lists on the wire, in the same order. */
 const cachedRows = (cached: Beacon["cached"]): readonly Row[] =>
     cached.flatMap(([holder, parts]) =>
         chunksOf(parts, PARTS_PER_ROW).map(chunk => ({
@@ -86,7 +89,7 @@
     const { lease, registry } = common;
     const list = (name: RowList): string => `[${(page.get(name) ?? []).map(({ json }) => json).join(",")}]`;
     const sizes = (page.get("cached") ?? []).map(row => row.sizes).join(",");
-    // VMs of earlier versions expect a list of members in the first field.
+    // The first of these fields is unused: VMs of earlier versions expect a list of members there.
     return [
         "[]",
         common.revision,
--- a/packages/router/src/peers/createBeaconExchange.ts
+++ b/packages/router/src/peers/createBeaconExchange.ts
@@ -73,7 +73,7 @@
 
     const cachedFor = (scope: BeaconScope): Cached =>
         scope === "domain" || scope === "fleet" ? [...roundCached.own, ...roundCached[scope]] : roundCached.own;
-    /** Encodes urgent state: revisions, weights, orders, crashes, load, and the age of what is known. */
+    /** Encodes urgent state: revisions, weights, orders, crashes, load, and the ages of what is confirmed. */
     const urgentEncoding = (scope: BeaconScope, localState: LocalState): Encoding => ({
         encode: createBeaconEncoder({
             ...self,
--- a/packages/router/src/peers/createBeaconPacer.ts
+++ b/packages/router/src/peers/createBeaconPacer.ts
@@ -47,7 +47,7 @@
     };
     /**
      * Returns the time until the next round. If a round takes several batches, all VMs begin theirs at the same
-     * moments, so that a VM finds several beacons when it wakes to send its own.
+     * moments, so that a VM that wakes to send its own beacons receives several at the same time.
      */
     const untilNextMs = (): Millis => {
         const intervalMs = parts.intervalMs();
--- a/packages/router/src/peers/createMembership.ts
+++ b/packages/router/src/peers/createMembership.ts
@@ -35,8 +35,8 @@
     /** Number of VMs, including this one. */
     readonly vms: () => number;
     /**
-     * Applies a beacon; returns `undefined` if a newer one overtook it, this VM sent it, or it is its sender's final
-     * beacon.
+     * Applies a beacon; returns `undefined` if one that the same process sent over `peerTiming.reorderMs` later arrived
+     * before it, if this VM sent it, or if it is its sender's final beacon.
      */
     readonly applyBeacon: (beacon: Beacon, address: string) => AcceptedBeacon | undefined;
     readonly list: (vms: readonly ListedVm[]) => void;
@@ -62,7 +62,10 @@
     readonly domainSilentMs: (domain: FailureDomain) => Millis;
     /** Prompt tokens that callers send to the other VMs per millisecond. */
     readonly demand: () => Tokens;
-    /** The part of `demand` that a relay sends to a target. */
+    /**
+     * Demand that a relay sends to a target, in prompt tokens per millisecond. Received demand counts for `goneMs`,
+     * longer than in `demand`.
+     */
     readonly relayedDemand: (scope: "domain" | "fleet", target: VmId | undefined) => Tokens;
     /** Whether this VM reads the registry for all VMs. */
     readonly isReader: () => boolean;
--- a/packages/router/src/peers/createPeerLoad.ts
+++ b/packages/router/src/peers/createPeerLoad.ts
@@ -11,7 +11,7 @@
 /** Load of the other VMs' requests at the endpoints, as they or relays sent it last. */
 type PeerLoad = {
     readonly applyBeacon: (beacon: LoadUpdate) => void;
-    /** Sum over all of them at an endpoint. */
+    /** Load of all other VMs' requests at an endpoint. */
     readonly at: (endpoint: EndpointName) => EndpointShare;
     /** What a relay sends of its peers' load, by target, without what the target itself contributed. */
     readonly relayedLoad: (scope: RelayScope) => (target: VmId | undefined) => Rows;
@@ -26,7 +26,10 @@
     readonly roleOf: (vm: VmId) => VmRole;
 };
 
-/** Time for which a received load counts; by then its requests have ended, or it has been sent again. */
+/**
+ * Time for which a received load counts. A VM repeats its load in each round; if nothing is received for this time, its
+ * requests are taken to have ended.
+ */
 const LOAD_EXPIRY_MS: Millis = 1_500;
 
 type ReceivedLoad = { readonly load: Rows; readonly receivedAt: Millis; };
--- a/packages/router/src/peers/createRelayBuffer.ts
+++ b/packages/router/src/peers/createRelayBuffer.ts
@@ -37,8 +37,8 @@
 
 /**
  * Buffers the rows that a relay sends on: from its failure domain to the others, and from all VMs to its failure
- * domain. Relays that receive the same rows divide the prompt parts among themselves by holder. Parts that are lost
- * when a relay dies cost at most a second prefill.
+ * domain. Relays that receive the same rows divide the prompt parts among themselves by holder: the engine or the cache
+ * store that has them. Parts that are lost when a relay dies cost at most a second prefill.
  */
 export function createRelayBuffer({ clock, vm, relays, beaconIntervalMs }: RelayBufferParts): RelayBuffer {
     const buffered = { domain: emptyBuffer(), fleet: emptyBuffer() };
--- a/packages/router/src/peers/createUrgentSender.ts
+++ b/packages/router/src/peers/createUrgentSender.ts
@@ -26,9 +26,9 @@
 /**
  * Sends urgent state between rounds.
  *
- * A wave of orders brings an update at the beginning and at the end of each order. VMs that have not received an order
- * send requests to an engine that refuses them. So the first update goes out at once, and those that follow it are sent
- * together.
+ * An order makes an engine load other weights. Several orders are issued at a time, and each brings an update at its
+ * beginning and at its end. VMs that have not received an order send requests to an engine that refuses them. So the
+ * first update goes out at once, and those that follow it are sent together.
  *
  * Hundreds of VMs place requests by each other's load, which reaches them over three hops. If it were sent only in
  * rounds, it would be a second old, and queues would grow at some engines while others are idle.
--- a/packages/router/src/peers/decodeBeacon.ts
+++ b/packages/router/src/peers/decodeBeacon.ts
@@ -31,7 +31,7 @@
 
 const areNumbers = (value: unknown): boolean => isRow(value) && value.every(row => isRow(row) && row.every(isNumber));
 
-const isTriple = (value: unknown, ...checks: readonly ((item: unknown) => boolean)[]): boolean =>
+const isRowOrNull = (value: unknown, ...checks: readonly ((item: unknown) => boolean)[]): boolean =>
     value === null || (isRow(value) && checks.every((check, i) => check(value[i])));
 
 /**
@@ -43,7 +43,7 @@
     && row.length >= MIN_FIELDS
     && isText(row[1]) && isText(row[2]) && isText(row[3])
     && isNumber(row[4]) && isNumber(row[5])
-    && isTriple(row[6], isText, isNumber, isNumber)
+    && isRowOrNull(row[6], isText, isNumber, isNumber)
     && areRows(row[7], isText, isText)
     && isNumber(row[8])
     && (row[9] === null || isNumber(row[9]))
@@ -52,14 +52,14 @@
     && (row[12] === null || areRows(row[12], isText, isNumber, isNumber, isNumber))
     && areRows(row[13], isText, isNumber, isNumber)
     && areRows(row[14], isText, isNumber)
-    && isTriple(row[15], isNumber, isText, isNumber)
+    && isRowOrNull(row[15], isNumber, isText, isNumber)
     && typeof row[16] === "boolean" && typeof row[17] === "boolean"
     && isNumber(row[18])
     && areRows(row[19], isText, keys => isRow(keys) && keys.every(isText))
     && areRows(row[DEATHS] ?? [], isText, isText)
     && areRows(row[QUARANTINED] ?? [], isText, isNumber)
     && (row[CACHED_TOKENS] === undefined || areNumbers(row[CACHED_TOKENS]))
-    && isTriple(row[REGISTRY] ?? null, isText, isNumber)
+    && isRowOrNull(row[REGISTRY] ?? null, isText, isNumber)
     && (row[UP_MS] === undefined || isNumber(row[UP_MS]))
     && isNumber(row[CAPACITY] ?? 0)
     && SCOPES.includes(row[SCOPE] ?? "vm")
--- a/packages/router/src/peers/isReader.ts
+++ b/packages/router/src/peers/isReader.ts
@@ -7,7 +7,10 @@
 /**
  * Returns whether this VM reads the store for the others. The reader is the first by name of the live relays that have
  * the store, as what a relay sends reaches the others soonest. If two VMs take themselves for the reader, or none does,
- * only the number of reads changes.
+ * only the number of reads changes, since a VM whose data gets too old reads for itself.
+ *
+ * Whether this VM itself has the store is not checked. Without it, the function may still return true, and the next
+ * relay by name also takes itself for the reader, as the beacons of this VM say that it does not have the store.
  *
  * @param domain this VM's failure domain, if the reader of that domain alone is meant; `undefined` for the reader of
  * all VMs
--- a/packages/router/src/peers/liveReaders.ts
+++ b/packages/router/src/peers/liveReaders.ts
@@ -4,7 +4,7 @@
 import type { Members } from "./Members.js";
 
 /**
- * Lists the peers that are alive and read the store.
+ * Lists the peers that are alive and that the store has answered lately.
  *
  * @param domain failure domain of the peers; `undefined` for all
  */
--- a/packages/router/src/peers/memberFieldsOf.ts
+++ b/packages/router/src/peers/memberFieldsOf.ts
@@ -66,7 +66,8 @@
     const relays = [...ownRelays, ...remote.flatMap(domain => relaysOf(members, domain, now))];
     switch (scope) {
         case "vm":
-            // If both relays die, the VMs that take over may know this VM but not each other.
+            // If both relays die, the VMs that take over may know this VM but not each other. They learn of each other
+            // from this list, which then contains them.
             return { vms: knownVms(members, ownRelays, now), domains: [] };
         case "referral":
             return { vms: knownVms(members, relays, now), domains: [] };
--- a/packages/router/src/peers/packRows.ts
+++ b/packages/router/src/peers/packRows.ts
@@ -4,7 +4,7 @@
 /**
  * Distributes rows to pages of limited size and keeps their order.
  *
- * @param limit maximum characters per page; a larger row gets a page of its own
+ * @param limit maximum characters per page, which are bytes if the text is ASCII; a larger row gets a page of its own
  * @returns at least one page, each with its rows by the name of their list
  */
 export function packRows<List extends string>(
@@ -14,6 +14,7 @@
     const pages: Map<List, Row<List>[]>[] = [new Map()];
     const page = { size: 0 };
     rows.forEach(row => {
+        // 2 more for the commas after the row, and after its sizes.
         const size = row.json.length + (row.sizes?.length ?? 0) + 2;
         if (page.size > 0 && page.size + size > limit) {
             pages.push(new Map());
--- a/packages/router/src/peers/peerDemand.ts
+++ b/packages/router/src/peers/peerDemand.ts
@@ -2,7 +2,10 @@
 
 import type { Members } from "./Members.js";
 
-/** Time for which a received demand counts, even if its VM is gone: its callers then go to other VMs. */
+/**
+ * Time for which a received demand counts, even if its VM has stopped sending: its callers then go to other VMs. Once
+ * a VM's final beacon is received, its demand no longer counts.
+ */
 const DEMAND_EXPIRY_MS = 5_000;
 
 type ReceivedDemand = { readonly at: Millis; readonly demand: Tokens; };
--- a/packages/router/src/peers/peerTiming.ts
+++ b/packages/router/src/peers/peerTiming.ts
@@ -1,10 +1,15 @@
-/** Times and limits of the beacons between VMs; times are in milliseconds. */
+/**
+ * Times and limits of the beacons between VMs; times are in milliseconds.
+ *
+ * By the time since it was last seen, a peer is alive (up to `aliveMs`), silent (after `missedBeacons` intervals, which
+ * may be earlier than `aliveMs`), gone (after `goneMs`), and forgotten (after `forgetMs`).
+ */
 const peerTiming = {
     /** Minimum time between two beacons to one VM, used with few VMs. */
     beaconMs: 200,
     /**
      * Beacon interval per known peer, bounded by `beaconMs` and `maxBeaconMs`, so that with few VMs the known load of
-     * others is only a few choices old.
+     * others is only a few placements of requests old.
      */
     perMemberMs: 25,
     maxBeaconMs: 500,
@@ -16,7 +21,8 @@
     /** Relays per failure domain. A domain with one more VM than that still serves after two deaths. */
     relays: 2,
     /**
-     * Up to this number of VMs, beacons are at most 225 ms apart, so that the others' load is only a few choices old.
+     * Up to this number of VMs, beacons are at most 225 ms apart (200 ms with eight known peers), so that the others'
+     * load is only a few placements of requests old. Up to it, placement compares all candidates.
      */
     fewVms: 9,
     /**
@@ -26,18 +32,20 @@
     /** Missed beacons after which a VM counts as silent. More than one, because a single datagram may be lost. */
     missedBeacons: 4,
     /**
-     * Time after which a silent VM counts as gone. A VM that is cut off from the store and all others serves no keys
-     * after the time within which a withdrawal must take effect, so it spends nothing any more by then.
+     * Time after which a silent VM counts as gone. A VM that is cut off from the store and all others refuses
+     * requests with API keys once a withdrawal that it cannot know of must have taken effect (`keyWithdrawalMs` of the
+     * settings), so it spends nothing any more by then.
      */
     goneMs: 8_000,
     /** A VM seen within this time is alive: it may be a relay, and may read the store for others. */
     aliveMs: 2_000,
     /** Time after the start for which listed VMs count as present although nothing was received from them yet. */
     settleMs: 2_000,
-    /** Time between two beacons to silent VMs, which may come back. */
+    /** Time between two beacons to VMs that are not alive, as they may come back. */
     silentBeaconMs: 1_000,
     /**
-     * Silent VMs per failure domain that get a beacon at a time: those that would be relays, and one more in rotation.
+     * VMs per failure domain that are not alive and get a beacon at a time: those that would be relays, and one more in
+     * rotation.
      */
     silentAtOnce: 3,
     /** Time after which a silent VM is forgotten. A failure domain may be cut off for minutes. */
--- a/packages/router/src/peers/startAnnouncing.ts
+++ b/packages/router/src/peers/startAnnouncing.ts
@@ -50,8 +50,8 @@
             Left: failure => logger.info({ failure: failure.kind }, "Reading the VM list failed."),
             Right: ({ records }) => {
                 state.listedAt = clock.now();
-                const isListed = records.some(({ key, value }) => key === self.vm && value?.equals(own) === true);
-                state.writtenAt = isListed ? Math.max(state.writtenAt, startedAt) : state.writtenAt;
+                const isSelfListed = records.some(({ key, value }) => key === self.vm && value?.equals(own) === true);
+                state.writtenAt = isSelfListed ? Math.max(state.writtenAt, startedAt) : state.writtenAt;
                 membership.list(
                     records.flatMap(({ key, value }) =>
                         value === undefined ? [] : decodeListedVm(key as VmId, value) ?? []
--- a/packages/router/src/peers/startPeerSync.ts
+++ b/packages/router/src/peers/startPeerSync.ts
@@ -22,7 +22,7 @@
     readonly checkSuspension: () => void;
 };
 
-/** Starts to send the state of this VM's parts to its peers, and to apply what they send to the parts. */
+/** Starts to send this VM's state to its peers, and to apply the state that they send. */
 export function startPeerSync(parts: PeerSyncParts): ReturnType<typeof startBeacons> {
     const { sources, settings, incarnation, logger, metrics, checkSuspension } = parts;
     const { clock, endpointTable, prefixIndex, membership, peerLoad, relayBuffer } = sources;
--- a/packages/router/src/peers/stepMembers.ts
+++ b/packages/router/src/peers/stepMembers.ts
@@ -23,7 +23,7 @@
  * While a VM is suspended, datagrams wait in its buffers. If it took them for current when it resumes, it would accept
  * a key that was withdrawn meanwhile.
  */
-const agesOf = (
+const timesOf = (
     { incarnation }: Members,
     { echo }: Beacon,
 ): { readonly sentAfter: Millis; readonly stampedAt: Millis; } =>
@@ -49,7 +49,11 @@
     }
 };
 
-/** Applies the counts of a relay. If a beacon takes several datagrams, only one of them contains the counts. */
+/**
+ * Applies the counts of a relay. If a beacon takes several datagrams, the counts are in the first one, since they are
+ * the first rows that the encoder packs; the others change nothing here. Counts that do not fit into the first datagram
+ * would replace those before them.
+ */
 const withRelaySummary = (
     members: Members,
     beacon: Beacon,
@@ -81,7 +85,7 @@
         return { ...members, known: new Map([...members.known].filter(([vm]) => vm !== beacon.vm)) };
     }
     const { vm, incarnation, failureDomain, capacity, hasStore } = beacon;
-    const lastReceived = { incarnation, failureDomain, receivedAt: now, beacon, ...agesOf(members, beacon) };
+    const lastReceived = { incarnation, failureDomain, receivedAt: now, beacon, ...timesOf(members, beacon) };
     const sentAfter = lastReceived.sentAfter === -Infinity ? now : lastReceived.sentAfter;
     const known = new Map(members.known);
     known.set(vm, { vm, address, failureDomain, capacity, hasStore, lastSeenAt: now, lastReceived });
