--- a/packages/bench/src/__tests__/unit/callers.test.ts
+++ b/packages/bench/src/__tests__/unit/callers.test.ts
@@ -37,16 +37,16 @@
 
 const client = (apiKey = running.key) => new OpenAI({ baseURL: `${running.caller}/v1`, apiKey, maxRetries: 0 });
 
-test("the openai client gets a chat, whole and streamed, with the same text", async t => {
+test("the openai client gets the same chat text, whole and streamed", async t => {
     const ask = { model: "chain-advisor", messages: MESSAGES, max_tokens: 8 };
     const whole = await client().chat.completions.create(ask);
     const stream = await client().chat.completions.create({ ...ask, stream: true });
-    const pieces: string[] = [];
+    const parts: string[] = [];
     for await (const chunk of stream) {
-        pieces.push(chunk.choices[0]?.delta.content ?? "");
+        parts.push(chunk.choices[0]?.delta.content ?? "");
     }
-    t.is(pieces.join(""), whole.choices[0]?.message.content ?? "");
-    t.true(pieces.join("").length > 0);
+    t.is(parts.join(""), whole.choices[0]?.message.content ?? "");
+    t.true(parts.join("").length > 0);
     t.is(whole.choices[0]?.finish_reason, "length");
 });
 
@@ -117,7 +117,7 @@
         code: "unknown-service",
     },
     {
-        name: "idempotency key that is no text",
+        name: "idempotency key of more than the maximum length",
         path: "/v1/services/bookings/bookings",
         headers: { ...JSON_TYPE, "idempotency-key": "x".repeat(300) },
         body: "{}",
@@ -125,7 +125,7 @@
         code: "bad-request",
     },
 ].forEach(({ name, path, headers, body, status, code }) =>
-    test(`bad input: ${name} is refused as not run, and the daemon serves on`, async t => {
+    test(`bad input: ${name} is refused as not run, and the daemon continues to serve`, async t => {
         const res = await request(`${running.caller}${path}`, {
             method: "POST",
             headers: { ...headers, authorization: `Bearer ${running.key}` },
@@ -139,7 +139,7 @@
     })
 );
 
-/** Sends a path as it is; clients made for URLs would clean it first. */
+/** Sends a path unchanged; clients that take URLs would normalise it first. */
 const sendRaw = (path: string) =>
     new Promise<number>((resolve, reject) => {
         const { hostname, port } = new URL(running.caller);
@@ -150,7 +150,7 @@
         }).on("error", reject).end("{}");
     });
 
-// A path is cleaned after its route was matched, and a booking passes for a lookup that may be repeated.
+// If a path were normalised after matching its route, a booking could pass for a lookup, which may be repeated.
 [
     { path: "/lookup/../bookings", status: 200, ranAt: "/bookings" },
     { path: "/lookup/%2e%2e/bookings", status: 200, ranAt: "/bookings" },
@@ -158,7 +158,7 @@
     { path: "/lookup/..\\bookings", status: 200, ranAt: "/bookings" },
     { path: "/lookup/%zz", status: 400, ranAt: undefined },
 ].forEach(({ path, status, ranAt }) =>
-    test.serial(`a path is judged in the form that is sent: ${path}`, async t => {
+    test.serial(`a path is matched to its route in the form that is forwarded: ${path}`, async t => {
         const service = running.topology?.endpoints.find(endpoint => endpoint.kind === "service");
         const runsOf = async () => {
             const res = await request(`${service?.url ?? ""}/runs`);
@@ -170,7 +170,7 @@
     })
 );
 
-test("bad input: no key and another scheme than bearer", async t => {
+test("bad input: no key, or an authorisation scheme other than bearer, is refused with 401", async t => {
     const statusOf = async (headers: Record<string, string>) =>
         (await request(`${running.caller}/v1/models`, { headers })).statusCode;
     t.is(await statusOf({}), 401);
--- a/packages/bench/src/__tests__/unit/operations.test.ts
+++ b/packages/bench/src/__tests__/unit/operations.test.ts
@@ -14,9 +14,9 @@
 import type { Topology } from "../../topology/Topology.js";
 import { waitUntil } from "../../topology/waitUntil.js";
 
-const BOUND_MS = 20_000;
-const LONG_STREAM = 400;
-const AFTERWARDS = 12;
+const TIMEOUT_MS = 20_000;
+const LONG_STREAM_TOKENS = 400;
+const LATER_REQUESTS = 12;
 
 const folder = mkdtempSync(join(tmpdir(), "azureshunt-operations-"));
 const running: { topology?: Topology; demo?: ReturnType<typeof demoNote>; } = {};
@@ -29,7 +29,7 @@
     await applyRelease(topology, demo.note);
     running.topology = topology;
     running.demo = demo;
-    await waitUntil("the engines to be watched", BOUND_MS, async () => (await ask("ready?", 1)).complete);
+    await waitUntil("the engines to be watched", TIMEOUT_MS, async () => (await ask("ready?", 1)).complete);
 });
 
 test.after.always(async () => {
@@ -51,31 +51,31 @@
     return (JSON.parse(text) as { readonly runs: readonly unknown[]; }).runs.length;
 };
 
-test.serial("a leaving endpoint gets no new work, and its stream finishes", async t => {
-    // A choice on an older configuration sends new requests to an engine that is about to be switched off.
+test.serial("a leaving endpoint gets no new requests, and its stream finishes", async t => {
+    // A choice by an outdated configuration would send new requests to an engine that is about to be switched off.
     const topology = running.topology!;
     const engines = topology.endpoints;
     const before = await Promise.all(engines.map(engine => runsOf(engine.url)));
-    const stream = ask("a long answer", LONG_STREAM);
-    await waitUntil("the stream to run", BOUND_MS, async () => {
+    const stream = ask("a long answer", LONG_STREAM_TOKENS);
+    await waitUntil("the stream to run", TIMEOUT_MS, async () => {
         const now = await Promise.all(engines.map(engine => runsOf(engine.url)));
         return now.some((count, i) => count > (before[i] ?? 0));
     });
-    const atWork = await Promise.all(engines.map(engine => runsOf(engine.url)));
-    const leaving = engines[atWork.findIndex((count, i) => count > (before[i] ?? 0))]!;
+    const whileStreaming = await Promise.all(engines.map(engine => runsOf(engine.url)));
+    const leaving = engines[whileStreaming.findIndex((count, i) => count > (before[i] ?? 0))]!;
     const { name, failureDomain, url } = leaving;
     const spec = { name, kind: "model", failureDomain, url, models: [running.demo?.model], leaving: true };
     await applyRelease(topology, { note: "take an engine out", changed: { endpoints: [spec] } });
-    const atNote = await runsOf(url);
-    const answers = await Promise.all(Array.from({ length: AFTERWARDS }, (_, i) => ask(`afterwards ${i}`, 2)));
+    const atRelease = await runsOf(url);
+    const answers = await Promise.all(Array.from({ length: LATER_REQUESTS }, (_, i) => ask(`afterwards ${i}`, 2)));
     t.true(answers.every(answer => answer.complete));
-    t.is(await runsOf(url), atNote);
+    t.is(await runsOf(url), atRelease);
     const { complete, tokens } = await stream;
-    t.deepEqual({ complete, tokens }, { complete: true, tokens: LONG_STREAM });
+    t.deepEqual({ complete, tokens }, { complete: true, tokens: LONG_STREAM_TOKENS });
 });
 
-test.serial("a withdrawn key stops on a connection that was open before", async t => {
-    // A key is checked once for each connection, and a withdrawn one goes on over an open connection.
+test.serial("a withdrawn key is refused on a connection that was opened before", async t => {
+    // If a key were checked only once per connection, a withdrawn key would continue to work on an open connection.
     const connection = new Agent({ connections: 1 });
     const { id, key } = running.demo!.spareKey;
     const models = async (): Promise<number> => {
--- a/packages/bench/src/__tests__/unit/shutdown.test.ts
+++ b/packages/bench/src/__tests__/unit/shutdown.test.ts
@@ -13,17 +13,17 @@
 import { waitUntil } from "../../topology/waitUntil.js";
 
 const STREAMS = 6;
-/** More than the time of the announcement, so that streams still run when no new connections are taken. */
+/** Enough that streams take longer than the announcement of the stop, and so still run when the listener closes. */
 const TOKENS = 1_200;
-const BOUND_MS = 20_000;
+const TIMEOUT_MS = 20_000;
 
-test("a daemon that is asked to stop finishes its streams and serves what still comes", async t => {
-    // A daemon exits before the balancer has learnt of its stop, and requests on open connections are cut.
+test("a stopping daemon finishes its streams and serves requests that still arrive", async t => {
+    // If a daemon exits before the load balancer has noticed that it is stopping, requests on open connections are cut off.
     const folder = mkdtempSync(join(tmpdir(), "azureshunt-shutdown-"));
     const plan = demoPlan(folder);
     const endpoints = plan.endpoints.filter(endpoint => endpoint.kind === "model").slice(0, 1);
     const topology = await startTopology({ ...plan, failureDomains: ["fd-a"], daemonsPerDomain: 1, endpoints });
-    const keptOpen = new Agent({ connections: 1 });
+    const openConnection = new Agent({ connections: 1 });
     try {
         const demo = demoNote(topology);
         await applyRelease(topology, demo.note);
@@ -31,12 +31,12 @@
         const { caller } = daemon!;
         const key = demo.organisations[0]!.key;
         const models = () =>
-            request(`${caller}/v1/models`, { dispatcher: keptOpen, headers: { authorization: `Bearer ${key}` } })
+            request(`${caller}/v1/models`, { dispatcher: openConnection, headers: { authorization: `Bearer ${key}` } })
                 .then(async res => {
                     await res.body.dump();
                     return res.statusCode;
                 });
-        await waitUntil("the engine to be watched", BOUND_MS, async () => {
+        await waitUntil("the engine to be watched", TIMEOUT_MS, async () => {
             const chat = await streamChat(caller, key, demo.model, [{ role: "user", content: "ready?" }], 1);
             return chat.complete;
         });
@@ -47,17 +47,17 @@
         );
         const { signal, exited } = daemon!.process();
         signal("SIGTERM");
-        await waitUntil("readiness to go red", BOUND_MS, async () => {
+        await waitUntil("readiness to go red", TIMEOUT_MS, async () => {
             const res = await request(`${caller}/readyz`);
             await res.body.dump();
             return res.statusCode === 503;
         });
         t.is(await models(), 200);
-        const late = await streamChat(caller, key, demo.model, [{ role: "user", content: "late" }], TOKENS);
-        const ended = await Promise.all(streams);
+        const lateAnswer = await streamChat(caller, key, demo.model, [{ role: "user", content: "late" }], TOKENS);
+        const answers = await Promise.all(streams);
         t.deepEqual(
-            [...ended, late].map(({ complete, tokens }) => ({ complete, tokens })),
-            [...ended, late].map(() => ({
+            [...answers, lateAnswer].map(({ complete, tokens }) => ({ complete, tokens })),
+            [...answers, lateAnswer].map(() => ({
                 complete: true,
                 tokens: TOKENS,
             })),
@@ -66,7 +66,7 @@
         t.is(daemon!.process().errors(), "");
     }
     finally {
-        await keptOpen.close();
+        await openConnection.close();
         await topology.stop();
         rmSync(folder, { recursive: true, force: true });
     }
--- a/packages/bench/src/__tests__/unit/slopes.test.ts
+++ b/packages/bench/src/__tests__/unit/slopes.test.ts
@@ -3,15 +3,20 @@
 import { fitLine } from "../../slopes/fitLine.js";
 
 [
-    { name: "through two points", points: [{ items: 0, value: 3 }, { items: 2, value: 7 }], perItem: 2, fixed: 3 },
     {
-        name: "level",
+        name: "of two points runs through both",
+        points: [{ items: 0, value: 3 }, { items: 2, value: 7 }],
+        perItem: 2,
+        fixed: 3,
+    },
+    {
+        name: "of equal values is level",
         points: [{ items: 1, value: 5 }, { items: 9, value: 5 }],
         perItem: 0,
         fixed: 5,
     },
     {
-        name: "the best one where points are not on a line",
+        name: "least squares if the points are not on a line",
         points: [{ items: 0, value: 0 }, { items: 1, value: 2 }, { items: 2, value: 1 }],
         perItem: 0.5,
         fixed: 0.5,
--- a/packages/bench/src/__tests__/unit/workload.test.ts
+++ b/packages/bench/src/__tests__/unit/workload.test.ts
@@ -17,12 +17,12 @@
     const arrivals = planArrivals(workload, phasesOf(SECONDS), SEED);
     const steady = arrivals.filter(({ phase }) => phase === "steady");
 
-    test(`workload ${workload.name}: one seed gives one plan`, t => {
+    test(`workload ${workload.name}: the same seed gives the same plan`, t => {
         t.deepEqual(planArrivals(workload, phasesOf(SECONDS), SEED), arrivals);
         t.notDeepEqual(planArrivals(workload, phasesOf(SECONDS), SEED + 1), arrivals);
     });
 
-    test(`workload ${workload.name}: arrivals come at the rate that it says`, t => {
+    test(`workload ${workload.name}: requests arrive at the declared rate`, t => {
         const perSecond = steady.length / (SECONDS * 0.4);
         t.true(Math.abs(perSecond / workload.requestsPerSecond - 1) < 0.15);
     });
@@ -37,7 +37,7 @@
         t.true(Math.abs(sentPerSecond / (rate * factor) - 1) < 0.2);
     });
 
-    test(`workload ${workload.name}: a prompt has the tokens that it is charged for`, t => {
+    test(`workload ${workload.name}: a prompt has the number of tokens that it is charged for`, t => {
         const long = arrivals.find(({ kind }) => kind === "long");
         t.truthy(long);
         if (long !== undefined) {
@@ -47,11 +47,18 @@
     });
 });
 
-const START = { nextPosition: 0, inOrder: true, done: false, errorCode: undefined, ran: undefined, rest: "" };
+const INITIAL_READING = {
+    nextPosition: 0,
+    inOrder: true,
+    done: false,
+    errorCode: undefined,
+    ran: undefined,
+    partialLine: "",
+};
 const token = (position: number) => `data: {"position":${position},"choices":[]}\n\n`;
 
 [
-    { name: "whole", text: `${token(0)}${token(1)}data: [DONE]\n\n`, expected: { nextPosition: 2, done: true } },
+    { name: "complete", text: `${token(0)}${token(1)}data: [DONE]\n\n`, expected: { nextPosition: 2, done: true } },
     { name: "with a gap", text: `${token(0)}${token(2)}`, expected: { inOrder: false, done: false } },
     { name: "with a repetition", text: `${token(0)}${token(0)}`, expected: { inOrder: false } },
     {
@@ -60,8 +67,8 @@
         expected: { errorCode: "stream-lost", ran: "maybe", done: false },
     },
 ].forEach(({ name, text, expected }) =>
-    test(`stream reading: ${name}, however it is cut`, t => {
-        const cut = [text.slice(0, 9), text.slice(9, 31), text.slice(31)];
-        t.like(cut.reduce(readStreamText, START), expected);
+    test(`stream reading: ${name}, in several parts`, t => {
+        const parts = [text.slice(0, 9), text.slice(9, 31), text.slice(31)];
+        t.like(parts.reduce(readStreamText, INITIAL_READING), expected);
     })
 );
--- a/packages/bench/src/index.ts
+++ b/packages/bench/src/index.ts
@@ -1,2 +1,2 @@
-/** The demonstration, measurements under load and faults, and the slopes behind the capacity page. */
+/** Programs only: the demonstration, measurements under load and faults, and the slopes behind the capacity page. */
 export {};
--- a/packages/bench/src/load/LoadTarget.ts
+++ b/packages/bench/src/load/LoadTarget.ts
@@ -1,12 +1,13 @@
-/** Where load is sent, and as whom. */
+/** Describes where load is sent and with which keys. */
 export type LoadTarget = {
-    /** Base URLs of the daemons' caller listeners; an arrival names one by its index. */
+    /** Base URLs of the daemons' caller listeners; `Arrival.daemon` is an index into this list. */
     readonly daemons: readonly string[];
     readonly model: string;
     readonly service: string;
-    /** Path of the service whose calls may not be repeated, and one whose calls may. */
+    /** Path of the service whose calls must not be repeated. */
     readonly bookingPath: string;
+    /** Path of the service whose calls may be repeated. */
     readonly lookupPath: string;
-    /** The key of an organisation. */
+    /** Returns the API key of an organisation. */
     readonly keyOf: (organisation: string) => string;
 };
--- a/packages/bench/src/load/Outcome.ts
+++ b/packages/bench/src/load/Outcome.ts
@@ -1,21 +1,21 @@
 import type { Arrival } from "../workload/Arrival.js";
 
-/** What became of one request, as its caller saw it. Times are milliseconds. */
+/** The result of one request as seen by its caller. */
 export type Outcome = {
     readonly arrival: Arrival;
-    /** By how much the request left late; a large value means that the load generator was too slow. */
+    /** Delay between the intended and the actual time of sending. A large value means that the load generator was too slow. */
     readonly sentLateMs: number;
-    /** From the intended time to the first token, or to the answer of a plain service; undefined without one. */
+    /** From the intended time of sending to the first token, or to the answer of a plain service; `undefined` if none came. */
     readonly firstMs: number | undefined;
-    /** From the intended time to the end. */
+    /** From the intended time of sending to the end. */
     readonly endMs: number;
-    /** 0 when no answer came at all. */
+    /** HTTP status; 0 if no answer came. */
     readonly status: number;
     /** `code` of the error body, or of the error event that ended a stream. */
     readonly errorCode: string | undefined;
-    /** Whether the daemon says that the request ran; undefined without an error. */
+    /** `ran` of the error: whether the daemon reports that the request ran; `undefined` if there is no error. */
     readonly ran: string | undefined;
-    /** Whether the whole answer came, with every position once and in order. */
+    /** Whether the answer is complete, with every position once and in order. */
     readonly complete: boolean;
     /** Tokens received. */
     readonly tokens: number;
--- a/packages/bench/src/load/readStreamText.ts
+++ b/packages/bench/src/load/readStreamText.ts
@@ -17,17 +17,17 @@
     if (chunk.error !== undefined) {
         return { ...reading, errorCode: chunk.error.code ?? "unknown", ran: chunk.error.ran };
     }
-    const inOrder = chunk.position === undefined || chunk.position === reading.nextPosition;
-    return { ...reading, nextPosition: reading.nextPosition + 1, inOrder: reading.inOrder && inOrder };
+    const isNext = chunk.position === undefined || chunk.position === reading.nextPosition;
+    return { ...reading, nextPosition: reading.nextPosition + 1, inOrder: reading.inOrder && isNext };
 };
 
-/** Reads on in a stream of server-sent events. */
+/** Continues reading a stream of server-sent events with its next text, which may end anywhere. */
 export function readStreamText(reading: StreamReading, text: string): StreamReading {
-    const lines = (reading.rest + text).split("\n");
-    const rest = lines.at(-1) ?? "";
+    const lines = (reading.partialLine + text).split("\n");
+    const partialLine = lines.at(-1) ?? "";
     return lines
         .slice(0, -1)
         .filter(line => line.startsWith(DATA_PREFIX))
         .map(line => line.slice(DATA_PREFIX.length))
-        .reduce(readData, { ...reading, rest });
+        .reduce(readData, { ...reading, partialLine });
 }
--- a/packages/bench/src/load/runOpenLoop.ts
+++ b/packages/bench/src/load/runOpenLoop.ts
@@ -15,10 +15,10 @@
 const NO_ANSWER = { status: 0, errorCode: "no-answer", ran: undefined, complete: false, tokens: 0 };
 
 /**
- * Sends planned requests at their times, whatever became of those before them. All times count from the intended moment,
- * so a delay of one request shows in those that it holds up (no coordinated omission).
+ * Sends planned requests at their times, independent of the results of earlier requests. All times are measured from the
+ * intended time of sending, so a request that delays others shows in their times too (no coordinated omission).
  *
- * @param onPhase called with the phase of the request that is sent, each time it changes
+ * @param onPhase called with the phase of the next request each time the phase changes
  */
 export async function runOpenLoop(
     target: LoadTarget,
@@ -32,25 +32,25 @@
         bodyTimeout: ANSWER_TIMEOUT_MS,
     });
     const startedAt = performance.now();
-    const since = (arrival: Arrival): number => performance.now() - startedAt - arrival.at;
+    const msSinceIntended = (arrival: Arrival): number => performance.now() - startedAt - arrival.at;
 
     const send = async (arrival: Arrival): Promise<Outcome> => {
-        const sentLateMs = since(arrival);
+        const sentLateMs = msSinceIntended(arrival);
         let firstMs: number | undefined;
-        const onFirst = (): void => {
-            firstMs ??= since(arrival);
+        const onFirstToken = (): void => {
+            firstMs ??= msSinceIntended(arrival);
         };
         const isModel = arrival.kind === "long" || arrival.kind === "short";
         const answer = await (isModel
-            ? sendModelRequest(agent, target, workload, arrival, onFirst)
+            ? sendModelRequest(agent, target, workload, arrival, onFirstToken)
             : sendServiceRequest(agent, target, arrival)).catch(() => NO_ANSWER);
-        const endMs = since(arrival);
+        const endMs = msSinceIntended(arrival);
         return { arrival, sentLateMs, firstMs: isModel ? firstMs : endMs, endMs, ...answer };
     };
-    const sent: Promise<Outcome>[] = [];
+    const pending: Promise<Outcome>[] = [];
     let phase = "";
     for (const arrival of arrivals) {
-        const wait = -since(arrival);
+        const wait = -msSinceIntended(arrival);
         if (wait > 0) {
             await delay(wait);
         }
@@ -58,9 +58,9 @@
             phase = arrival.phase;
             onPhase(phase);
         }
-        sent.push(send(arrival));
+        pending.push(send(arrival));
     }
-    const outcomes = await Promise.all(sent);
+    const outcomes = await Promise.all(pending);
     await agent.close();
     return outcomes;
 }
--- a/packages/bench/src/load/sendModelRequest.ts
+++ b/packages/bench/src/load/sendModelRequest.ts
@@ -8,38 +8,38 @@
 import { readStreamText } from "./readStreamText.js";
 import type { StreamReading } from "./StreamReading.js";
 
-const START: StreamReading = {
+const INITIAL_READING: StreamReading = {
     nextPosition: 0,
     inOrder: true,
     done: false,
     errorCode: undefined,
     ran: undefined,
-    rest: "",
+    partialLine: "",
 };
 
 type ErrorBody = { readonly error?: { readonly code?: string; readonly ran?: string; }; };
 
-/** What came back, without the times that the caller adds. */
+/** An outcome without the times, which the caller of this function adds. */
 type Answer = Pick<Outcome, "status" | "errorCode" | "ran" | "complete" | "tokens">;
 
-const refusal = async (status: number, body: Dispatcher.ResponseData["body"]): Promise<Answer> => {
+const readRefusal = async (status: number, body: Dispatcher.ResponseData["body"]): Promise<Answer> => {
     const text = await body.text();
     const error = (JSON.parse(text || "{}") as ErrorBody).error;
     return { status, errorCode: error?.code ?? "unknown", ran: error?.ran, complete: false, tokens: 0 };
 };
 
 /**
- * Sends one streamed request and reads its answer to the end.
+ * Sends one streamed request and reads its complete answer.
  *
- * @param onFirst called when the first token has come
- * @throws Error when the connection fails
+ * @param onFirstToken called when the first token has arrived
+ * @throws Error if the connection fails
  */
 export async function sendModelRequest(
     dispatcher: Dispatcher,
     target: LoadTarget,
     workload: Workload,
     arrival: Arrival,
-    onFirst: () => void,
+    onFirstToken: () => void,
 ): Promise<Answer> {
     const maxTokens = arrival.kind === "long" ? workload.longAnswerTokens : workload.shortAnswerTokens;
     const answer = await dispatcher.request({
@@ -58,14 +58,14 @@
         }),
     });
     if (answer.statusCode !== 200) {
-        return refusal(answer.statusCode, answer.body);
+        return readRefusal(answer.statusCode, answer.body);
     }
-    let reading = START;
-    for await (const part of answer.body) {
+    let reading = INITIAL_READING;
+    for await (const chunk of answer.body) {
         const before = reading.nextPosition;
-        reading = readStreamText(reading, (part as Buffer).toString("utf8"));
+        reading = readStreamText(reading, (chunk as Buffer).toString("utf8"));
         if (before === 0 && reading.nextPosition > 0) {
-            onFirst();
+            onFirstToken();
         }
     }
     return {
--- a/packages/bench/src/load/sendServiceRequest.ts
+++ b/packages/bench/src/load/sendServiceRequest.ts
@@ -7,28 +7,28 @@
 type ErrorBody = { readonly error?: { readonly code?: string; readonly ran?: string; }; };
 
 /**
- * Sends one call of the plain service. Calls that may not be repeated carry an idempotency key.
+ * Sends one call of the plain service, with an idempotency key if it must not be repeated.
  *
- * @throws Error when the connection fails
+ * @throws Error if the connection fails
  */
 export async function sendServiceRequest(
     dispatcher: Dispatcher,
     target: LoadTarget,
     arrival: Arrival,
 ): Promise<Pick<Outcome, "status" | "errorCode" | "ran" | "complete" | "tokens">> {
-    const booking = arrival.kind === "booking";
-    const path = booking ? target.bookingPath : target.lookupPath;
+    const isBooking = arrival.kind === "booking";
+    const path = isBooking ? target.bookingPath : target.lookupPath;
     const answer = await dispatcher.request({
         origin: target.daemons[arrival.daemon] ?? "",
         path: `/v1/services/${target.service}${path}`,
-        method: booking ? "POST" : "GET",
+        method: isBooking ? "POST" : "GET",
         headers: {
             "authorization": `Bearer ${target.keyOf(arrival.organisation)}`,
-            ...booking
+            ...isBooking
                 ? { "idempotency-key": `${arrival.organisation}-${arrival.id}`, "content-type": "application/json" }
                 : {},
         },
-        body: booking ? "{}" : null,
+        body: isBooking ? "{}" : null,
     });
     const text = await answer.body.text();
     const complete = answer.statusCode === 200;
--- a/packages/bench/src/measure/main.ts
+++ b/packages/bench/src/measure/main.ts
@@ -30,22 +30,22 @@
     readonly json?: string;
 };
 
-/** Beyond this the machine was too busy: what is measured is the generator, not the daemons. */
+/** With more lateness (p99), the machine was too busy: the figures show the load generator instead of the daemons. */
 const MAX_LATENESS_MS = 50;
 
 const warnOfLateness = (runs: readonly RunFigures[]): void =>
     runs.filter(({ generatorLateness }) => generatorLateness.p99 > MAX_LATENESS_MS).forEach(run => {
-        const late = run.generatorLateness.p99.toFixed(0);
-        console.log(`not valid: ${run.workload} ${run.policy}: requests left up to ${late} ms late (p99)`);
+        const lateMs = run.generatorLateness.p99.toFixed(0);
+        console.log(`not valid: ${run.workload} ${run.policy}: requests left up to ${lateMs} ms late (p99)`);
     });
 
-const noFailure = (): Promise<void> => Promise.resolve();
+const injectNoFailure = (): Promise<void> => Promise.resolve();
 
-const listOf = (value: string | readonly string[] | undefined, all: readonly string[]): readonly string[] =>
+const namesIn = (value: string | readonly string[] | undefined, all: readonly string[]): readonly string[] =>
     value === undefined ? all : [value].flat().flatMap(text => text.split(","));
 
-const choose = (value: string | readonly string[] | undefined, all: readonly string[]): readonly string[] => {
-    const chosen = listOf(value, all);
+const chooseNames = (value: string | readonly string[] | undefined, all: readonly string[]): readonly string[] => {
+    const chosen = namesIn(value, all);
     const unknown = chosen.filter(name => !all.includes(name));
     if (unknown.length > 0) {
         console.error(`measure: unknown: ${unknown.join(", ")}; known: ${all.join(", ")}`);
@@ -54,7 +54,7 @@
     return chosen;
 };
 
-/** Runs one policy after the other, each on all workloads at the same time, so that all policies meet the same noise. */
+/** Runs the policies one after the other, each on all workloads at once, so that all policies run under the same noise. */
 const measureAll = async (
     chosen: readonly Workload[],
     policies: readonly string[],
@@ -62,22 +62,22 @@
     seconds: number,
 ): Promise<readonly RunFigures[]> => {
     const phases = phasesOf(seconds);
-    const begun = performance.now();
+    const startedAt = performance.now();
     const say = (line: string): void =>
-        console.error(`${((performance.now() - begun) / 1_000).toFixed(0).padStart(4)} s  ${line}`);
+        console.error(`${((performance.now() - startedAt) / 1_000).toFixed(0).padStart(4)} s  ${line}`);
     const measured = await policies.reduce<Promise<readonly MeasuredRun[]>>(async (before, policy) => {
         const done = await before;
-        const runs = chosen.map(workload => measureRun({ workload, policy, seed, phases, fail: noFailure, say }));
+        const runs = chosen.map(workload => measureRun({ workload, policy, seed, phases, fail: injectNoFailure, say }));
         return [...done, ...await Promise.all(runs)];
     }, Promise.resolve([]));
     await Promise.all(measured.map(({ ended }) => ended));
-    const figures = measured.map(one => one.figures);
+    const figures = measured.map(measuredRun => measuredRun.figures);
     return chosen.flatMap(({ name }) => figures.filter(({ workload }) => workload === name));
 };
 
 const run = async (options: Options): Promise<void> => {
-    const policies = choose(options.policy, POLICIES);
-    const names = choose(options.workload, workloads.map(({ name }) => name));
+    const policies = chooseNames(options.policy, POLICIES);
+    const names = chooseNames(options.workload, workloads.map(({ name }) => name));
     const seconds = options.seconds ?? (options.quick === true ? QUICK_SECONDS : FULL_SECONDS);
     const chosen = workloads.filter(({ name }) => names.includes(name));
     const runs = await measureAll(chosen, policies, options.seed ?? DEFAULT_SEED, seconds);
--- a/packages/bench/src/measure/measureNames.ts
+++ b/packages/bench/src/measure/measureNames.ts
@@ -1,4 +1,4 @@
-/** Names that every measured installation uses. */
+/** Names used by every measured installation. */
 const measureNames = {
     model: "assistant",
     version: "v1",
--- a/packages/bench/src/measure/measureNote.ts
+++ b/packages/bench/src/measure/measureNote.ts
@@ -7,13 +7,13 @@
 
 const KEY_BYTES = 32;
 
-/** A release note, and the key that it gives to each organisation. */
+/** A release note, with the API key of each organisation by organisation id. */
 type MeasureNote = {
     readonly note: object;
     readonly keys: ReadonlyMap<string, string>;
 };
 
-/** Writes the release note that declares a workload's organisations and all endpoints of its installation. */
+/** Creates the release note that declares the organisations of a workload and all endpoints of its installation. */
 export function measureNote(workload: Workload, topology: Topology): MeasureNote {
     const keys = new Map(
         workload.organisations.map(({ id }) => [id, `ask_${randomBytes(KEY_BYTES).toString("base64url")}`]),
--- a/packages/bench/src/measure/measurePlan.ts
+++ b/packages/bench/src/measure/measurePlan.ts
@@ -16,9 +16,9 @@
 });
 
 /**
- * The installation that a workload runs on.
+ * Plans the installation on which a workload runs.
  *
- * @param folder for settings and logs
+ * @param folder folder for settings, logs and the histories of the engines
  */
 export function measurePlan(workload: Workload, policy: string, seed: number, folder: string): TopologyPlan {
     const domainOf = (index: number): string => workload.failureDomains[index % workload.failureDomains.length] ?? "";
--- a/packages/bench/src/measure/measureRun.ts
+++ b/packages/bench/src/measure/measureRun.ts
@@ -29,21 +29,21 @@
 import { readCounters } from "./readCounters.js";
 
 const MS_PER_SECOND = 1_000;
-const READY_BOUND_MS = 10_000;
+const READY_TIMEOUT_MS = 10_000;
 
-/** One run: a workload under a policy. */
+/** Describes one run of a workload under a policy. */
 type RunPlan = {
     readonly workload: Workload;
     readonly policy: string;
     readonly seed: number;
     readonly phases: readonly Phase[];
-    /** Called as a phase begins, to bring about its failure; the traffic does not wait for it. */
+    /** Injects the failure of a phase; called when the phase begins. The traffic does not wait for it. */
     readonly fail: (phase: string, topology: Topology) => Promise<void>;
-    /** Called with a line when the run has got somewhere. */
+    /** Called with a line of progress when a phase begins or an injected failure could not be caused. */
     readonly say: (line: string) => void;
 };
 
-const usageOf = ({ daemons }: Topology) => {
+const sumUsage = ({ daemons }: Topology) => {
     const all = daemons.map(daemon => readProcessUsage(daemon.process().pid));
     return {
         cpuMs: all.reduce((sum, { cpuMs }) => sum + cpuMs, 0),
@@ -59,14 +59,14 @@
 
 const waitUntilServing = async ({ daemons }: Topology, key: string): Promise<void> => {
     await Promise.all(daemons.map(({ vm, caller }) =>
-        waitUntil(`${vm} to serve`, READY_BOUND_MS, async () => {
+        waitUntil(`${vm} to serve`, READY_TIMEOUT_MS, async () => {
             const { status } = await callHttp({ method: "GET", url: `${caller}/v1/models`, key });
             return status === 200;
         })
     ));
 };
 
-/** Sets the speed of the engines. Called as a phase begins; the traffic does not wait for it. */
+/** Sets the speed of the engines; called when a phase begins. The traffic does not wait for it. */
 const setEngineSlowness = async ({ endpoints }: Topology, slowFactor: number): Promise<void> => {
     const engines = endpoints.filter(({ kind }) => kind === "model");
     await Promise.all(
@@ -79,7 +79,7 @@
     return figuresOfPhase(run, index).hitRate;
 };
 
-const recoveryOf = (run: RunRecord): number | undefined => {
+const recoverySecondsOf = (run: RunRecord): number | undefined => {
     const index = run.phases.findIndex(({ name }) => name === "shifted");
     if (index < 0) {
         return undefined;
@@ -89,13 +89,13 @@
     return shiftRecovery(run.cacheUses.filter(({ at }) => at >= shiftedAt), shiftedAt, steadyHitRate(run));
 };
 
-const drive = async (plan: RunPlan & { readonly folder: string; }, topology: Topology): Promise<RunFigures> => {
+const runTraffic = async (plan: RunPlan & { readonly folder: string; }, topology: Topology): Promise<RunFigures> => {
     const { workload, phases, policy, seed, say } = plan;
     const { note, keys } = measureNote(workload, topology);
     await applyRelease(topology, note);
     await waitUntilServing(topology, [...keys.values()][0] ?? "");
     const arrivals = planArrivals(workload, phases, seed);
-    const before = usageOf(topology);
+    const before = sumUsage(topology);
     const startedAt = performance.timeOrigin + performance.now();
     const outcomes = await runOpenLoop(
         {
@@ -112,7 +112,7 @@
             plan.fail(name, topology).catch((err: unknown) => say(`failure not brought about: ${String(err)}`));
         },
     );
-    const after = usageOf(topology);
+    const after = sumUsage(topology);
     const engines = topology.endpoints.filter(({ kind }) => kind === "model");
     const histories = readEngineHistories(
         engines.map(({ name }) => ({ engine: name, file: historyFile(plan.folder, name) })),
@@ -130,7 +130,7 @@
         seed,
         seconds: phases.reduce((sum, phase) => sum + phase.seconds, 0),
         phases: phases.map((_, i) => figuresOfPhase(run, i)),
-        shiftRecoverySeconds: recoveryOf(run),
+        shiftRecoverySeconds: recoverySecondsOf(run),
         doubledBookings: countDoubledBookings(await readServiceRuns(topology)),
         daemonCpuMsPerRequest: (after.cpuMs - before.cpuMs) / outcomes.length,
         daemonBytesPerRequest: (after.transferredBytes - before.transferredBytes) / outcomes.length,
@@ -139,22 +139,22 @@
     };
 };
 
-/** What a run gave; `ended` settles when all that it started has ended. */
+/** Figures of a run; `ended` resolves when all processes of the run have ended and its folder is deleted. */
 type MeasuredRun = { readonly figures: RunFigures; readonly ended: Promise<void>; };
 
-/** Starts a workload's installation, runs its traffic once, and begins to end all that it started. */
+/** Starts the installation of a workload, runs its traffic once, and begins to end its processes. */
 export async function measureRun(plan: RunPlan): Promise<MeasuredRun> {
     const folder = mkdtempSync(join(tmpdir(), "azureshunt-measure-"));
     const topology = await startTopology(measurePlan(plan.workload, plan.policy, plan.seed, folder));
-    const end = async (): Promise<void> => {
+    const stopAndCleanUp = async (): Promise<void> => {
         await topology.stop();
         rmSync(folder, { recursive: true, force: true });
     };
     try {
-        return { figures: await drive({ ...plan, folder }, topology), ended: end() };
+        return { figures: await runTraffic({ ...plan, folder }, topology), ended: stopAndCleanUp() };
     }
     catch (err) {
-        await end();
+        await stopAndCleanUp();
         throw err;
     }
 }
--- a/packages/bench/src/overhead/Probe.ts
+++ b/packages/bench/src/overhead/Probe.ts
@@ -1,6 +1,7 @@
-/** One request whose time to the first token was taken. */
+/** One request whose time to the first token was measured. */
 export type Probe = {
-    /** Tokens of its prompt, unlike those of all others. */
+    /** Length of its prompt, different from that of every other probe. */
     readonly promptTokens: number;
-    readonly firstMs: number;
+    /** From the intended time of sending to the first token. */
+    readonly firstTokenMs: number;
 };
--- a/packages/bench/src/overhead/main.ts
+++ b/packages/bench/src/overhead/main.ts
@@ -1,4 +1,4 @@
-/** Measures what a daemon adds to the first token: `measure:overhead [--streams N] [--json FILE]`. */
+/** Measures what a daemon adds to the time to the first token: `measure:overhead [--streams N] [--json FILE]`. */
 import { writeFileSync } from "node:fs";
 
 import { cac } from "cac";
--- a/packages/bench/src/overhead/measureOverhead.ts
+++ b/packages/bench/src/overhead/measureOverhead.ts
@@ -21,21 +21,23 @@
 const SETTLE_MS = 4_000;
 const PROBES = 250;
 const WARM_UP_PROBES = 200;
-/** Prompts stay short, so that engines compute them in a few milliseconds. */
+/** Prompts are short, so that engines prefill them in a few milliseconds. */
 const FIRST_LENGTH = 100;
 const LENGTH_STEP = 250;
 const ENGINE = { prefillUsPerToken: 12, decodeMsPerToken: MS_BETWEEN_TOKENS };
 
-/** Time to the first token that is not the engine's own, in milliseconds. */
+/** Time to the first token without the engine's own time, in milliseconds. */
 type Overhead = {
-    /** Straight to an engine: what client and connection take by themselves. */
+    /** Requests sent directly to an engine: the time that client and connection take. */
     readonly direct: Percentiles;
+    /** Requests through a daemon without other requests. */
     readonly idle: Percentiles;
+    /** Requests through a daemon that forwards `streams` streams at the same time. */
     readonly loaded: Percentiles;
     readonly streams: number;
 };
 
-const streamOf = (id: number): Arrival => ({
+const streamArrivalOf = (id: number): Arrival => ({
     id,
     at: 0,
     organisation: "only",
@@ -46,32 +48,32 @@
 });
 
 /**
- * Measures what one daemon adds to the first token, alone and with streams in flight at it.
+ * Measures what one daemon adds to the time to the first token, idle and with streams in flight.
  *
- * @param streams streams at the one daemon
+ * @param streams number of streams in flight at the daemon
  */
 export async function measureOverhead(streams: number): Promise<Overhead> {
-    const plain = slopeWorkload({ daemons: DAEMONS, engines: ENGINES, pieces: 0, answerTokens: STREAM_TOKENS });
-    const workload = { ...plain, engine: { ...plain.engine, ...ENGINE } };
+    const base = slopeWorkload({ daemons: DAEMONS, engines: ENGINES, pieces: 0, answerTokens: STREAM_TOKENS });
+    const workload = { ...base, engine: { ...base.engine, ...ENGINE } };
     return withWorkload(workload, async (topology, target, folder) => {
         const engines = topology.endpoints.filter(({ kind }) => kind === "model");
-        const straight: LoadTarget = { ...target, daemons: [engines[0]?.url ?? ""] };
-        const added = async (to: LoadTarget, round: number): Promise<Percentiles> => {
+        const directTarget: LoadTarget = { ...target, daemons: [engines[0]?.url ?? ""] };
+        const measureAdded = async (to: LoadTarget, round: number): Promise<Percentiles> => {
             const probes = await sendProbes(to, workload, PROBES, FIRST_LENGTH + round * LENGTH_STEP);
             await delay(SETTLE_MS);
             const files = engines.map(({ name }) => ({ engine: name, file: historyFile(folder, name) }));
             return percentilesOf(addedTimes(probes, readEngineHistories(files)));
         };
-        await sendProbes(straight, workload, WARM_UP_PROBES, FIRST_LENGTH + 3 * LENGTH_STEP);
+        await sendProbes(directTarget, workload, WARM_UP_PROBES, FIRST_LENGTH + 3 * LENGTH_STEP);
         await sendProbes(target, workload, WARM_UP_PROBES, FIRST_LENGTH + 4 * LENGTH_STEP);
-        const direct = await added(straight, 2);
-        const idle = await added(target, 1);
+        const direct = await measureAdded(directTarget, 2);
+        const idle = await measureAdded(target, 1);
         const agent = new Agent({ connections: streams });
-        Array.from({ length: streams }, (_, i) => streamOf(i)).forEach(arrival => {
+        Array.from({ length: streams }, (_, i) => streamArrivalOf(i)).forEach(arrival => {
             void sendModelRequest(agent, target, workload, arrival, () => undefined).catch(() => undefined);
         });
         await delay(SETTLE_MS);
-        const loaded = await added(target, 0);
+        const loaded = await measureAdded(target, 0);
         await agent.destroy();
         return { direct, idle, loaded, streams };
     });
--- a/packages/bench/src/overhead/sendProbes.ts
+++ b/packages/bench/src/overhead/sendProbes.ts
@@ -22,9 +22,10 @@
 });
 
 /**
- * Sends short requests, one every forty milliseconds whatever became of those before.
+ * Sends short requests, one every 40 ms, independent of the results of earlier ones.
  *
- * @param firstLength tokens of the first one's prompt; each next one has a token more
+ * @param firstLength tokens of the first prompt; each further prompt has one token more
+ * @throws Error if an answer is not complete
  */
 export async function sendProbes(
     target: LoadTarget,
@@ -34,21 +35,21 @@
 ): Promise<readonly Probe[]> {
     const agent = new Agent({ connections: CONNECTIONS });
     const startedAt = performance.now();
-    const probe = async (i: number): Promise<Probe> => {
-        const intended = startedAt + i * GAP_MS;
-        await delay(Math.max(intended - performance.now(), 0));
+    const sendProbe = async (i: number): Promise<Probe> => {
+        const intendedAt = startedAt + i * GAP_MS;
+        await delay(Math.max(intendedAt - performance.now(), 0));
         const promptTokens = firstLength + i;
-        let firstMs = Number.NaN;
+        let firstTokenMs = Number.NaN;
         const shape = { ...workload, questionTokens: promptTokens, shortAnswerTokens: 1 };
         const answer = await sendModelRequest(agent, target, shape, arrivalOf(i), () => {
-            firstMs = performance.now() - intended;
+            firstTokenMs = performance.now() - intendedAt;
         });
         if (!answer.complete) {
             throw new Error(`probe: expected a whole answer, seen ${JSON.stringify(answer)}`);
         }
-        return { promptTokens, firstMs };
+        return { promptTokens, firstTokenMs };
     };
-    const probes = await Promise.all(Array.from({ length: count }, (_, i) => probe(i)));
+    const probes = await Promise.all(Array.from({ length: count }, (_, i) => sendProbe(i)));
     await agent.close();
     return probes;
 }
--- a/packages/bench/src/plots/MeasureFile.ts
+++ b/packages/bench/src/plots/MeasureFile.ts
@@ -1,7 +1,7 @@
 import type { RunFigures } from "../analysis/RunFigures.js";
 import type { Workload } from "../workload/Workload.js";
 
-/** The file that `npm run measure -- --json FILE` writes. */
+/** Content of the file written by `npm run measure -- --json FILE`. */
 export type MeasureFile = {
     readonly workloads: readonly Workload[];
     readonly runs: readonly RunFigures[];
--- a/packages/bench/src/plots/chartsOf.ts
+++ b/packages/bench/src/plots/chartsOf.ts
@@ -4,10 +4,10 @@
 import { renderBars } from "../report/renderBars.js";
 import type { MeasureFile } from "./MeasureFile.js";
 
-/** One picture: its file name and its SVG text. */
+/** A chart with its file name. */
 type Chart = { readonly file: string; readonly svg: string; };
 
-/** What a picture shows of each run. */
+/** The figure of each run that a chart shows. */
 type Measure = {
     readonly name: string;
     readonly title: string;
@@ -47,15 +47,15 @@
     },
 ];
 
-const barOf = (run: RunFigures, measure: Measure): readonly Bar[] =>
+const barsOf = (run: RunFigures, measure: Measure): readonly Bar[] =>
     run.phases
         .filter(({ phase }) => phase === measure.phase)
         .map(phase => ({ group: run.workload, label: run.policy, value: measure.pick(phase) }));
 
-/** Draws the pictures of a measurement. */
+/** Renders the charts of a measurement. */
 export function chartsOf({ runs }: MeasureFile): readonly Chart[] {
     return MEASURES.map(measure => ({
         file: `${measure.name}.svg`,
-        svg: renderBars(measure.title, measure.unit, runs.flatMap(run => barOf(run, measure))),
+        svg: renderBars(measure.title, measure.unit, runs.flatMap(run => barsOf(run, measure))),
     }));
 }
--- a/packages/bench/src/plots/main.ts
+++ b/packages/bench/src/plots/main.ts
@@ -1,4 +1,4 @@
-/** Draws the pictures of a measurement: `plots FILE FOLDER`. */
+/** Writes the charts of a measurement as SVG files and prints its tables: `plots FILE FOLDER`. */
 import { mkdirSync, readFileSync, writeFileSync } from "node:fs";
 import { join } from "node:path";
 
--- a/packages/bench/src/process/ProcessUsage.ts
+++ b/packages/bench/src/process/ProcessUsage.ts
@@ -1,7 +1,7 @@
-/** What a process has used since its start. */
+/** Resources that a process has used since its start; `residentBytes` is its present memory. */
 export type ProcessUsage = {
     readonly cpuMs: number;
     readonly residentBytes: number;
-    /** Bytes that it read and wrote, over sockets and files. */
+    /** Bytes read and written, by sockets and files. */
     readonly transferredBytes: number;
 };
--- a/packages/bench/src/process/exitOnSignals.ts
+++ b/packages/bench/src/process/exitOnSignals.ts
@@ -1,9 +1,9 @@
-const SIGNALS = { SIGINT: 130, SIGTERM: 143 } as const;
+const EXIT_CODES = { SIGINT: 130, SIGTERM: 143 } as const;
 
 /**
- * Ends this process by `exit` when it is interrupted. The death by a signal itself would pass over the exit handlers,
- * which end the processes that were started, and leave these running.
+ * Makes SIGINT and SIGTERM end this process by `process.exit`. Otherwise the signal would end it without running the exit
+ * handlers, which kill its child processes, and these would keep running.
  */
 export function exitOnSignals(): void {
-    Object.entries(SIGNALS).forEach(([signal, code]) => process.once(signal, () => process.exit(code)));
+    Object.entries(EXIT_CODES).forEach(([signal, code]) => process.once(signal, () => process.exit(code)));
 }
--- a/packages/bench/src/process/runProgram.ts
+++ b/packages/bench/src/process/runProgram.ts
@@ -1,10 +1,10 @@
 import { exitOnSignals } from "./exitOnSignals.js";
 
 /**
- * Runs a program to its end, and exits: with the code that it gives, 0 where it gives none, and 1 with what went wrong
- * on standard error.
+ * Runs a program and exits with the code that it returns, or 0 if it returns none. If it throws, writes the error to
+ * standard error and exits with 1.
  *
- * @param name of the command, for the error
+ * @param name name of the command, for the error message
  */
 export function runProgram(name: string, run: () => Promise<number | void>): void {
     exitOnSignals();
--- a/packages/bench/src/report/Bar.ts
+++ b/packages/bench/src/report/Bar.ts
@@ -1,7 +1,8 @@
 /** One bar of a chart. */
 export type Bar = {
-    /** What the bar stands for; bars of one group stand together. */
+    /** Bars of one group are drawn together. */
     readonly group: string;
+    /** What the bar shows within its group; bars of one label have one colour. */
     readonly label: string;
     readonly value: number;
 };
--- a/packages/bench/src/report/costRows.ts
+++ b/packages/bench/src/report/costRows.ts
@@ -1,6 +1,6 @@
 import type { DaemonCounters, RunFigures } from "../analysis/RunFigures.js";
 
-const HEAD = [
+const HEADER = [
     "workload",
     "policy",
     "daemon CPU ms/request",
@@ -19,7 +19,7 @@
         .filter(([series]) => series.startsWith(name))
         .reduce((sum, [, value]) => sum + value, 0);
 
-/** Rows of the table of what a run cost the daemons, its head first. */
+/** Returns the rows of the table of what each run cost the daemons, header first. */
 export function costRows(runs: readonly RunFigures[]): readonly (readonly string[])[] {
     const rowOf = (run: RunFigures): readonly string[] => [
         run.workload,
@@ -32,5 +32,5 @@
         run.shiftRecoverySeconds === undefined ? "not in this run" : `${run.shiftRecoverySeconds} s`,
         run.generatorLateness.p99.toFixed(1),
     ];
-    return [HEAD, ...runs.map(rowOf)];
+    return [HEADER, ...runs.map(rowOf)];
 }
--- a/packages/bench/src/report/summaryRows.ts
+++ b/packages/bench/src/report/summaryRows.ts
@@ -1,7 +1,7 @@
 import type { PhaseFigures } from "../analysis/PhaseFigures.js";
 import type { RunFigures } from "../analysis/RunFigures.js";
 
-const HEAD = [
+const HEADER = [
     "workload",
     "policy",
     "phase",
@@ -20,30 +20,30 @@
     "broken",
 ];
 
-const ratio = (value: number): string => value.toFixed(3);
-const ms = (value: number): string => value.toFixed(0);
+const formatRatio = (value: number): string => value.toFixed(3);
+const formatMs = (value: number): string => value.toFixed(0);
 
-/** The organisations that kept to their rates: all, but for the noisy one while it is noisy. */
-const wellBehaved = (phase: PhaseFigures, noisy: string) =>
+/** Returns the organisations that kept to their rates: all but the noisy one in the noisy phase. */
+const organisationsWithinRate = (phase: PhaseFigures, noisy: string) =>
     phase.organisations.filter(({ organisation }) => phase.phase !== "noisy" || organisation !== noisy);
 
 const rowOf = (run: RunFigures, phase: PhaseFigures, noisy: string): readonly string[] => {
-    const others = wellBehaved(phase, noisy);
-    const worst = Math.max(...others.map(({ firstToken }) => firstToken.p99));
-    const served = Math.min(...others.map(({ servedPart }) => servedPart));
+    const withinRate = organisationsWithinRate(phase, noisy);
+    const worstP99 = Math.max(...withinRate.map(({ firstToken }) => firstToken.p99));
+    const worstServedPart = Math.min(...withinRate.map(({ servedPart }) => servedPart));
     return [
         run.workload,
         run.policy,
         phase.phase,
         String(phase.requests),
-        ratio(phase.hitRate),
-        ratio(phase.oracleHitRate === 0 ? 1 : phase.hitRate / phase.oracleHitRate),
-        ms(phase.firstToken.p50),
-        ms(phase.firstToken.p95),
-        ms(phase.firstToken.p99),
+        formatRatio(phase.hitRate),
+        formatRatio(phase.oracleHitRate === 0 ? 1 : phase.hitRate / phase.oracleHitRate),
+        formatMs(phase.firstToken.p50),
+        formatMs(phase.firstToken.p95),
+        formatMs(phase.firstToken.p99),
         String(phase.recomputedTokens),
-        ms(worst),
-        ratio(served),
+        formatMs(worstP99),
+        formatRatio(worstServedPart),
         String(phase.refused),
         String(phase.wrongful),
         String(phase.unavoidable),
@@ -52,16 +52,16 @@
 };
 
 /**
- * Rows of the table of a measurement, its head first.
+ * Returns the rows of the table of a measurement, header first.
  *
- * @param noisyOf the organisation of a workload that sends several times its rate
+ * @param noisyOf returns the organisation that sends several times its rate, by name of the workload
  */
 export function summaryRows(
     runs: readonly RunFigures[],
     noisyOf: (workload: string) => string,
 ): readonly (readonly string[])[] {
     return [
-        HEAD,
+        HEADER,
         ...runs.flatMap(run => run.phases.map(phase => rowOf(run, phase, noisyOf(run.workload)))),
     ];
 }
--- a/packages/bench/src/restart/main.ts
+++ b/packages/bench/src/restart/main.ts
@@ -1,4 +1,4 @@
-/** Measures the time from the start of a daemon to its first served request, with the platform up, slow and down. */
+/** Measures the time from the start of a daemon to its first served request while the platform is up, slow or down. */
 import { demoNote } from "../demo/demoNote.js";
 import { demoPlan } from "../demo/demoPlan.js";
 import { streamChat } from "../demo/streamChat.js";
@@ -11,34 +11,38 @@
 import { withTopology } from "../topology/withTopology.js";
 
 const SETTLE_MS = 4_000;
-const BOUND_MS = 30_000;
-const SLOW_MS = 1_500;
+const SERVE_TIMEOUT_MS = 30_000;
+const SLOW_LATENCY_MS = 1_500;
 
-/** One way of restarting. */
+/** One condition under which daemons restart. */
 type Scenario = {
     readonly name: string;
-    /** Switches of the platform while the daemons restart. */
+    /** Fault switches of the platform stand-in while the daemons restart. */
     readonly platform: object;
-    /** How many daemons are killed and started again at once. */
-    readonly restarted: number;
+    /** Number of daemons that are killed and started again at the same time. */
+    readonly restartedDaemons: number;
 };
 
 const SCENARIOS: readonly Scenario[] = [
-    { name: "one daemon, platform up", platform: {}, restarted: 1 },
-    { name: "one daemon, platform slow (1.5 s a call)", platform: { latencyMs: SLOW_MS }, restarted: 1 },
-    { name: "one daemon, platform down", platform: { down: true }, restarted: 1 },
-    { name: "all six daemons, platform up", platform: {}, restarted: 6 },
-    { name: "all six daemons, platform slow (1.5 s a call)", platform: { latencyMs: SLOW_MS }, restarted: 6 },
+    { name: "one daemon, platform up", platform: {}, restartedDaemons: 1 },
+    { name: "one daemon, platform slow (1.5 s a call)", platform: { latencyMs: SLOW_LATENCY_MS }, restartedDaemons: 1 },
+    { name: "one daemon, platform down", platform: { down: true }, restartedDaemons: 1 },
+    { name: "all six daemons, platform up", platform: {}, restartedDaemons: 6 },
+    {
+        name: "all six daemons, platform slow (1.5 s a call)",
+        platform: { latencyMs: SLOW_LATENCY_MS },
+        restartedDaemons: 6,
+    },
 ];
 
-const kill = async (daemon: DaemonProcess): Promise<void> => {
+const killDaemon = async (daemon: DaemonProcess): Promise<void> => {
     const { signal, exited } = daemon.process();
     signal("SIGKILL");
     await exited;
 };
 
-const untilServed = (daemon: DaemonProcess, demo: ReturnType<typeof demoNote>): Promise<number> =>
-    waitUntil(`${daemon.vm} to serve`, BOUND_MS, async () => {
+const waitUntilServed = (daemon: DaemonProcess, demo: ReturnType<typeof demoNote>): Promise<number> =>
+    waitUntil(`${daemon.vm} to serve`, SERVE_TIMEOUT_MS, async () => {
         const key = demo.organisations[0]?.key ?? "";
         const chat = await streamChat(daemon.caller, key, demo.model, [{ role: "user", content: "ready?" }], 1);
         return chat.complete;
@@ -47,14 +51,14 @@
 const measure = async (topology: Topology, demo: ReturnType<typeof demoNote>, scenario: Scenario): Promise<void> => {
     const control = (body: object) => callHttp({ method: "POST", url: `${topology.platform.url}/control`, body });
     await new Promise(resolve => setTimeout(resolve, SETTLE_MS));
-    const daemons = topology.daemons.slice(0, scenario.restarted);
-    const switched = await control(scenario.platform);
-    if (switched.status !== 200) {
-        throw new Error(`the platform refused its switches: ${switched.text}`);
+    const daemons = topology.daemons.slice(0, scenario.restartedDaemons);
+    const response = await control(scenario.platform);
+    if (response.status !== 200) {
+        throw new Error(`the platform refused its switches: ${response.text}`);
     }
-    await Promise.all(daemons.map(kill));
+    await Promise.all(daemons.map(killDaemon));
     daemons.forEach(daemon => daemon.restart());
-    const times = await Promise.all(daemons.map(daemon => untilServed(daemon, demo)));
+    const times = await Promise.all(daemons.map(daemon => waitUntilServed(daemon, demo)));
     await control({ down: false, latencyMs: 0 });
     console.log(
         `${scenario.name}: first request served after ${(Math.max(...times) / 1_000).toFixed(2)} s at the latest`,
--- a/packages/bench/src/slopes/Slope.ts
+++ b/packages/bench/src/slopes/Slope.ts
@@ -1,4 +1,4 @@
-/** One measured point. */
+/** One measurement: the cost at a number of items. */
 type SlopePoint = { readonly items: number; readonly value: number; };
 
 /** How a cost grows with the number of items. */
@@ -7,9 +7,9 @@
     /** What one item is. */
     readonly item: string;
     readonly unit: "bytes" | "CPU µs" | "CPU ms/s" | "bytes/s" | "CPU ms";
-    /** Cost of one more item. */
+    /** Cost of one additional item. */
     readonly perItem: number;
-    /** Cost without any. */
+    /** Cost without any item. */
     readonly fixed: number;
     readonly points: readonly SlopePoint[];
 };
--- a/packages/bench/src/slopes/fitLine.ts
+++ b/packages/bench/src/slopes/fitLine.ts
@@ -1,9 +1,8 @@
 import type { SlopePoint } from "./Slope.js";
 
-/** A straight line. */
 type Line = { readonly perItem: number; readonly fixed: number; };
 
-/** Fits a line through points by least squares. Two different numbers of items are needed at least. */
+/** Fits a line to points by least squares. The points must have at least two different numbers of items. */
 export function fitLine(points: readonly SlopePoint[]): Line {
     const count = points.length;
     const meanItems = points.reduce((sum, { items }) => sum + items, 0) / count;
--- a/packages/bench/src/slopes/main.ts
+++ b/packages/bench/src/slopes/main.ts
@@ -1,4 +1,4 @@
-/** Measures how a daemon's costs grow: `slopes [--json FILE]`. */
+/** Measures how the costs of a daemon grow: `slopes [--json FILE]`. */
 import { writeFileSync } from "node:fs";
 
 import { cac } from "cac";
@@ -21,12 +21,12 @@
 ];
 
 const run = async (options: { readonly json?: string; }): Promise<void> => {
-    const begun = performance.now();
-    const say = (line: string): void =>
-        console.error(`${((performance.now() - begun) / 1_000).toFixed(0).padStart(4)} s  ${line}`);
+    const startedAt = performance.now();
+    const logProgress = (line: string): void =>
+        console.error(`${((performance.now() - startedAt) / 1_000).toFixed(0).padStart(4)} s  ${line}`);
     const states = stateSlopes();
-    say("aggregates");
-    const slopes = [...states, ...await processSlopes(say)];
+    logProgress("aggregates");
+    const slopes = [...states, ...await processSlopes(logProgress)];
     const head = ["what", "item", "unit", "each item", "fixed", "measured"];
     console.log(formatTable([head, ...slopes.map(rowOf)]));
     if (options.json !== undefined) {
--- a/packages/bench/src/slopes/processSlopes.ts
+++ b/packages/bench/src/slopes/processSlopes.ts
@@ -23,33 +23,36 @@
 const REQUESTS = 600;
 const WARM_UP_REQUESTS = 400;
 const CONCURRENCY = 8;
-const FIRST_TOKENS_MS = 10_000;
+const ALLOWANCE_TIMEOUT_MS = 10_000;
 const STREAMS: readonly number[] = [0, 200, 400];
 const LONG_ANSWER_TOKENS = 4_000;
 
-/** What a daemon spends a second while nobody calls. */
+/** Cost per second of a daemon that serves no requests. */
 type IdleCost = { readonly cpuMsPerSecond: number; readonly bytesPerSecond: number; };
 
-const firstDaemon = ({ daemons }: Topology): number => daemons[0]?.process().pid ?? 0;
+const firstDaemonPid = ({ daemons }: Topology): number => daemons[0]?.process().pid ?? 0;
 
-const idleCost = async (topology: Topology): Promise<IdleCost> => {
+const measureIdleCost = async (topology: Topology): Promise<IdleCost> => {
     await delay(SETTLE_MS);
     const pids = topology.daemons.map(daemon => daemon.process().pid);
     const before = pids.map(readProcessUsage);
-    const begun = performance.now();
+    const startedAt = performance.now();
     await delay(IDLE_MS);
-    const seconds = (performance.now() - begun) / MS_PER_SECOND * pids.length;
+    const seconds = (performance.now() - startedAt) / MS_PER_SECOND * pids.length;
     const after = pids.map(readProcessUsage);
-    const spent = (pick: (usage: ReturnType<typeof readProcessUsage>) => number): number =>
+    const perSecond = (pick: (usage: ReturnType<typeof readProcessUsage>) => number): number =>
         after.reduce((sum, usage, i) => sum + pick(usage) - pick(before[i] ?? usage), 0) / seconds;
-    return { cpuMsPerSecond: spent(({ cpuMs }) => cpuMs), bytesPerSecond: spent(usage => usage.transferredBytes) };
+    return {
+        cpuMsPerSecond: perSecond(({ cpuMs }) => cpuMs),
+        bytesPerSecond: perSecond(usage => usage.transferredBytes),
+    };
 };
 
-const idleOf = (daemons: number, engines: number): Promise<IdleCost> =>
-    withWorkload(slopeWorkload({ daemons, engines, pieces: 0, answerTokens: 1 }), idleCost);
+const measureIdle = (daemons: number, engines: number): Promise<IdleCost> =>
+    withWorkload(slopeWorkload({ daemons, engines, pieces: 0, answerTokens: 1 }), measureIdleCost);
 
-/** Measures one size after the other, as the machine is shared. */
-const inTurn = <T>(sizes: readonly number[], measure: (size: number) => Promise<T>): Promise<readonly T[]> =>
+/** Measures the sizes one after the other, because they share the machine and would disturb each other. */
+const measureInSequence = <T>(sizes: readonly number[], measure: (size: number) => Promise<T>): Promise<readonly T[]> =>
     sizes.reduce<Promise<readonly T[]>>(
         async (before, size) => [...await before, await measure(size)],
         Promise.resolve([]),
@@ -85,50 +88,50 @@
     phase: "slope",
 });
 
-const sendMany = async (target: LoadTarget, workload: Workload, count: number, from: number): Promise<void> => {
+const sendRequests = async (target: LoadTarget, workload: Workload, count: number, firstId: number): Promise<void> => {
     const agent = new Agent({ connections: CONCURRENCY });
-    const begun = performance.now();
-    const lane = async (first: number): Promise<void> => {
+    const startedAt = performance.now();
+    const sendFrom = async (first: number): Promise<void> => {
         if (first >= count) {
             return;
         }
-        const answer = await sendModelRequest(agent, target, workload, arrivalOf(from + first), () => undefined);
+        const answer = await sendModelRequest(agent, target, workload, arrivalOf(firstId + first), () => undefined);
         if (answer.complete) {
-            return lane(first + CONCURRENCY);
+            return sendFrom(first + CONCURRENCY);
         }
-        // A fresh installation refuses as not run until its allowances have begun to fill.
-        if (answer.ran === "no" && performance.now() - begun < FIRST_TOKENS_MS) {
-            return lane(first);
+        // A new installation refuses requests, as not run, until its allowances have begun to fill.
+        if (answer.ran === "no" && performance.now() - startedAt < ALLOWANCE_TIMEOUT_MS) {
+            return sendFrom(first);
         }
         throw new Error(`expected a whole answer, seen ${JSON.stringify(answer)}`);
     };
-    await Promise.all(Array.from({ length: CONCURRENCY }, (_, i) => lane(i)));
+    await Promise.all(Array.from({ length: CONCURRENCY }, (_, i) => sendFrom(i)));
     await agent.close();
 };
 
-/** Processor time of one request, without what the daemon spends anyway. */
-const requestCost = async (topology: Topology, target: LoadTarget, workload: Workload): Promise<number> => {
-    await sendMany(target, workload, WARM_UP_REQUESTS, 0);
-    const { cpuMsPerSecond } = await idleCost(topology);
-    const pid = firstDaemon(topology);
+/** Measures the CPU milliseconds of one request, without the cost of the idle daemon. */
+const measureRequestCost = async (topology: Topology, target: LoadTarget, workload: Workload): Promise<number> => {
+    await sendRequests(target, workload, WARM_UP_REQUESTS, 0);
+    const { cpuMsPerSecond } = await measureIdleCost(topology);
+    const pid = firstDaemonPid(topology);
     const before = readProcessUsage(pid);
-    const begun = performance.now();
-    await sendMany(target, workload, REQUESTS, WARM_UP_REQUESTS);
-    const seconds = (performance.now() - begun) / MS_PER_SECOND;
+    const startedAt = performance.now();
+    await sendRequests(target, workload, REQUESTS, WARM_UP_REQUESTS);
+    const seconds = (performance.now() - startedAt) / MS_PER_SECOND;
     return (readProcessUsage(pid).cpuMs - before.cpuMs - cpuMsPerSecond * seconds) / REQUESTS;
 };
 
-const requestSlopes = async (): Promise<readonly Slope[]> => {
+const measureRequestSlopes = async (): Promise<readonly Slope[]> => {
     const shape = { daemons: DOMAINS, engines: DOMAINS };
-    const costOf = (pieces: number, answerTokens: number, daemons = DOMAINS): Promise<number> => {
+    const requestCostOf = (pieces: number, answerTokens: number, daemons = DOMAINS): Promise<number> => {
         const workload = slopeWorkload({ ...shape, daemons, pieces, answerTokens });
-        return withWorkload(workload, (topology, target) => requestCost(topology, target, workload));
+        return withWorkload(workload, (topology, target) => measureRequestCost(topology, target, workload));
     };
     const pieces = [0, 4, 8];
-    const byPieces = await inTurn(pieces, size => costOf(size, 1));
+    const byPieces = await measureInSequence(pieces, size => requestCostOf(size, 1));
     const tokens = [1, 20, 40];
-    const byTokens = await inTurn(tokens, size => costOf(0, size));
-    const byPeers = await inTurn(PEERS, daemons => costOf(0, 1, daemons));
+    const byTokens = await measureInSequence(tokens, size => requestCostOf(0, size));
+    const byPeers = await measureInSequence(PEERS, daemons => requestCostOf(0, 1, daemons));
     return [
         slopeOf({
             name: "request, at the daemon that serves it",
@@ -151,7 +154,7 @@
     ];
 };
 
-const streamSlope = async (): Promise<Slope> => {
+const measureStreamSlope = async (): Promise<Slope> => {
     const workload = slopeWorkload({
         daemons: DOMAINS,
         engines: DOMAINS,
@@ -160,21 +163,21 @@
     });
     const points = await withWorkload(workload, async (topology, target) => {
         const warmUp = { ...workload, shortAnswerTokens: 1 };
-        await sendMany(target, warmUp, WARM_UP_REQUESTS, 0);
+        await sendRequests(target, warmUp, WARM_UP_REQUESTS, 0);
         const engines = topology.endpoints.filter(({ kind }) => kind === "model");
         await Promise.all(
             engines.map(({ url }) => callHttp({ method: "POST", url: `${url}/control`, body: { slowFactor: 500 } })),
         );
         const agent = new Agent({ connections: Math.max(...STREAMS) });
-        const residentWith = async (count: number, already: number): Promise<number> => {
-            Array.from({ length: count - already }, (_, i) => arrivalOf(i)).forEach(arrival => {
+        const residentBytesWith = async (count: number, inFlight: number): Promise<number> => {
+            Array.from({ length: count - inFlight }, (_, i) => arrivalOf(i)).forEach(arrival => {
                 void sendModelRequest(agent, target, workload, arrival, () => undefined).catch(() => undefined);
             });
             await delay(SETTLE_MS);
-            return readProcessUsage(firstDaemon(topology)).residentBytes;
+            return readProcessUsage(firstDaemonPid(topology)).residentBytes;
         };
         const values = await STREAMS.reduce<Promise<readonly number[]>>(
-            async (before, count, i) => [...await before, await residentWith(count, STREAMS[i - 1] ?? 0)],
+            async (before, count, i) => [...await before, await residentBytesWith(count, STREAMS[i - 1] ?? 0)],
             Promise.resolve([]),
         );
         await agent.destroy();
@@ -184,19 +187,19 @@
 };
 
 /**
- * Slopes of real daemons, measured from outside.
+ * Measures slopes of daemon processes from outside.
  *
- * @param say called with a line when a part is done
+ * @param logProgress called with a line when a part is done
  */
-export async function processSlopes(say: (line: string) => void): Promise<readonly Slope[]> {
-    const byPeers = await inTurn(PEERS, daemons => idleOf(daemons, DOMAINS));
-    say("idle daemons by peers");
-    const byEngines = await inTurn(ENGINES, engines => idleOf(DOMAINS, engines));
-    say("idle daemons by engines");
-    const byRequest = await requestSlopes();
-    say("requests");
-    const byStream = await streamSlope();
-    say("streams in flight");
+export async function processSlopes(logProgress: (line: string) => void): Promise<readonly Slope[]> {
+    const byPeers = await measureInSequence(PEERS, daemons => measureIdle(daemons, DOMAINS));
+    logProgress("idle daemons by peers");
+    const byEngines = await measureInSequence(ENGINES, engines => measureIdle(DOMAINS, engines));
+    logProgress("idle daemons by engines");
+    const byRequest = await measureRequestSlopes();
+    logProgress("requests");
+    const byStream = await measureStreamSlope();
+    logProgress("streams in flight");
     return [
         ...idleSlopes("by VMs", "VM", PEERS, byPeers),
         ...idleSlopes("by engines", "engine", ENGINES, byEngines),
--- a/packages/bench/src/slopes/retainedBytes.ts
+++ b/packages/bench/src/slopes/retainedBytes.ts
@@ -11,10 +11,10 @@
     return heapUsed + arrayBuffers;
 };
 
-/** Bytes that what a function builds keeps alive. */
+/** Returns the bytes of memory that the result of a function retains. */
 export function retainedBytes(build: () => unknown): number {
     const before = usedBytes();
-    const kept = [build()];
+    const retained = [build()];
     const bytes = usedBytes() - before;
-    return kept.length === 1 ? bytes : 0;
+    return retained.length === 1 ? bytes : 0;
 }
--- a/packages/bench/src/slopes/slopeOf.ts
+++ b/packages/bench/src/slopes/slopeOf.ts
@@ -1,7 +1,7 @@
 import { fitLine } from "./fitLine.js";
 import type { Slope } from "./Slope.js";
 
-/** Makes a slope of its measured points. */
-export function slopeOf(given: Pick<Slope, "name" | "item" | "unit" | "points">): Slope {
-    return { ...given, ...fitLine(given.points) };
+/** Creates a slope from its points, with a line fitted to them. */
+export function slopeOf(measured: Pick<Slope, "name" | "item" | "unit" | "points">): Slope {
+    return { ...measured, ...fitLine(measured.points) };
 }
--- a/packages/bench/src/slopes/slopeWorkload.ts
+++ b/packages/bench/src/slopes/slopeWorkload.ts
@@ -1,17 +1,18 @@
 import { lantulAlb } from "../workload/lantulAlb.js";
 import type { Workload } from "../workload/Workload.js";
 
-/** What a workload for slopes varies. */
+/** Parameters that differ between the workloads for slopes. */
 type SlopeShape = {
     readonly daemons: number;
     readonly engines: number;
+    /** Pieces of each prompt before its question. */
     readonly pieces: number;
     readonly answerTokens: number;
 };
 
-const PLENTY_PER_SECOND = 100_000;
+const UNLIMITED_REQUESTS_PER_SECOND = 100_000;
 
-/** A workload of short prompts without limits, so that only the daemon's own costs show. */
+/** Creates a workload that no rate limits, on engines with almost no cost, so that only the costs of the daemon show. */
 export function slopeWorkload({ daemons, engines, pieces, answerTokens }: SlopeShape): Workload {
     return {
         ...lantulAlb,
@@ -22,7 +23,7 @@
         organisations: [{ id: "only", share: 1 }],
         noisy: { id: "only", factor: 1 },
         prefixes: { ...lantulAlb.prefixes, instructionPieces: pieces },
-        requestsPerSecond: PLENTY_PER_SECOND,
+        requestsPerSecond: UNLIMITED_REQUESTS_PER_SECOND,
         questionTokens: 100,
         shortAnswerTokens: answerTokens,
     };
--- a/packages/bench/src/slopes/stateSlopes.ts
+++ b/packages/bench/src/slopes/stateSlopes.ts
@@ -169,7 +169,7 @@
     }),
 ];
 
-/** Slopes of the aggregates, measured inside this process. */
+/** Measures slopes of the aggregates inside this process. */
 export function stateSlopes(): readonly Slope[] {
     return [...organisationSlopes(), ...blockSlopes(), ...requestSlopes()];
 }
--- a/packages/bench/src/slopes/withWorkload.ts
+++ b/packages/bench/src/slopes/withWorkload.ts
@@ -10,9 +10,10 @@
 const SEED = 1;
 
 /**
- * Starts a workload's installation with its configuration in force, uses it, and ends all that was started.
+ * Starts the installation of a workload, puts its configuration in force, calls a function with it, and ends all processes
+ * afterwards.
  *
- * @param use gets the folder with the histories of the engines as well
+ * @param use called with the folder of the engines' histories as its last argument
  */
 export function withWorkload<T>(
     workload: Workload,
--- a/packages/bench/src/topology/DaemonProcess.ts
+++ b/packages/bench/src/topology/DaemonProcess.ts
@@ -1,17 +1,18 @@
 import type { ManagedProcess } from "./ManagedProcess.js";
 
-/** A daemon's VM in a topology, whether a daemon runs there at the moment or not. */
+/** A VM of a topology on which a daemon runs; the daemon may be stopped at the moment. */
 export type DaemonProcess = {
     readonly vm: string;
     readonly failureDomain: string;
-    /** Base URL of the callers' listener. */
+    /** Base URL of the listener for callers. */
     readonly caller: string;
     /** Base URL of the administration listener. */
     readonly admin: string;
+    /** Address of the listener for peers, `host:port`. */
     readonly peer: string;
     readonly settingsFile: string;
     readonly logFile: string;
-    /** The newest process on this VM. */
+    /** The process started last on this VM. */
     readonly process: () => ManagedProcess;
     /** Starts a new process on this VM. */
     readonly restart: () => void;
--- a/packages/bench/src/topology/ManagedProcess.ts
+++ b/packages/bench/src/topology/ManagedProcess.ts
@@ -1,12 +1,12 @@
-/** A process that this one has started, and is alone to end. */
+/** A child process. Only the process that started it may end it. */
 export type ManagedProcess = {
     readonly name: string;
     readonly pid: number;
-    /** Sends a signal, unless the process has ended. */
+    /** Sends a signal; does nothing if the process has ended. */
     readonly signal: (signal: NodeJS.Signals) => void;
     readonly hasExited: () => boolean;
-    /** Settles when the process has ended. */
+    /** Resolves when the process has ended. */
     readonly exited: Promise<void>;
-    /** What it wrote to its standard error so far, the last lines. */
+    /** The end of what the process has written to standard error so far. */
     readonly errors: () => string;
 };
--- a/packages/bench/src/topology/TopologyPlan.ts
+++ b/packages/bench/src/topology/TopologyPlan.ts
@@ -1,23 +1,23 @@
 type Flags = Readonly<Record<string, string>>;
 
-/** One stand-in of an endpoint. */
+/** Plan of one stand-in for an endpoint. */
 type EndpointPlan = {
     readonly name: string;
     readonly kind: "model" | "service" | "cache";
     readonly failureDomain: string;
-    /** Flags of the stand-in besides its name and failure domain. */
+    /** Flags of the stand-in other than its name and failure domain. */
     readonly flags: Flags;
 };
 
-/** What `startTopology` starts. */
+/** Describes the installation that `startTopology` starts. */
 export type TopologyPlan = {
     readonly failureDomains: readonly string[];
     readonly daemonsPerDomain: number;
     readonly platformFlags: Flags;
     readonly endpoints: readonly EndpointPlan[];
-    /** Policy in the daemons' settings. */
+    /** Placement policy in the settings of the daemons. */
     readonly policy: string;
-    /** Least level of the daemons' logs. */
+    /** Minimum level of the daemons' log lines. */
     readonly logLevel: string;
     /** Folder for settings and logs. */
     readonly folder: string;
--- a/packages/bench/src/topology/applyRelease.ts
+++ b/packages/bench/src/topology/applyRelease.ts
@@ -2,7 +2,7 @@
 import type { Topology } from "./Topology.js";
 import { waitUntil } from "./waitUntil.js";
 
-const IN_FORCE_BOUND_MS = 20_000;
+const IN_FORCE_TIMEOUT_MS = 20_000;
 
 const revisionOf = async (admin: string, key: string): Promise<number> => {
     const { text } = await callHttp({ method: "GET", url: `${admin}/admin/v1/status`, key });
@@ -10,13 +10,13 @@
 };
 
 /**
- * Applies a release note through one daemon and waits until all daemons have it in force.
+ * Applies a release note through the first daemon and waits until it is in force on all daemons.
  *
- * @returns milliseconds until the last daemon had it in force
- * @throws Error when it is not accepted, or not in force in time
+ * @returns milliseconds until the note was in force on the last daemon
+ * @throws Error if the note is not accepted, or not in force in time
  */
 export async function applyRelease({ daemons, adminKey }: Topology, note: object): Promise<number> {
-    const begun = performance.now();
+    const startedAt = performance.now();
     const admin = daemons[0]?.admin ?? "";
     const { status, text } = await callHttp({
         method: "POST",
@@ -29,9 +29,9 @@
         throw new Error(`release note: expected it accepted, seen ${status} ${text.slice(0, 500)}`);
     }
     const { revision } = answer;
-    await waitUntil(`revision ${revision} on every daemon`, IN_FORCE_BOUND_MS, async () => {
+    await waitUntil(`revision ${revision} on every daemon`, IN_FORCE_TIMEOUT_MS, async () => {
         const revisions = await Promise.all(daemons.map(daemon => revisionOf(daemon.admin, adminKey)));
-        return revisions.every(found => found >= revision);
+        return revisions.every(current => current >= revision);
     });
-    return performance.now() - begun;
+    return performance.now() - startedAt;
 }
--- a/packages/bench/src/topology/callHttp.ts
+++ b/packages/bench/src/topology/callHttp.ts
@@ -1,18 +1,18 @@
 import { request } from "undici";
 
-const CALL_BOUND_MS = 15_000;
+const CALL_TIMEOUT_MS = 15_000;
 
-/** The answer to a call, read to its end. */
+/** A complete HTTP response. */
 type HttpAnswer = {
     readonly status: number;
     readonly headers: Readonly<Record<string, string | string[] | undefined>>;
     readonly text: string;
 };
 
-/** What is called. */
 type HttpCall = {
     readonly method: "GET" | "POST" | "PUT" | "DELETE";
     readonly url: string;
+    /** Sent as a bearer token. */
     readonly key?: string;
     readonly headers?: Readonly<Record<string, string>>;
     /** Sent as JSON. */
@@ -20,14 +20,14 @@
 };
 
 /**
- * Makes one HTTP call and reads its answer.
+ * Sends one HTTP request and reads the complete response. Any status counts as a response.
  *
- * @throws Error when no answer comes
+ * @throws Error if no complete response arrives in time
  */
 export async function callHttp(call: HttpCall): Promise<HttpAnswer> {
     const res = await request(call.url, {
         method: call.method,
-        signal: AbortSignal.timeout(CALL_BOUND_MS),
+        signal: AbortSignal.timeout(CALL_TIMEOUT_MS),
         headers: {
             ...call.body === undefined ? {} : { "content-type": "application/json" },
             ...call.key === undefined ? {} : { authorization: `Bearer ${call.key}` },
--- a/packages/bench/src/topology/freePorts.ts
+++ b/packages/bench/src/topology/freePorts.ts
@@ -3,17 +3,17 @@
 
 const HOST = "127.0.0.1";
 
-/** Below the range that the system takes ports of outgoing connections from; one of these could be taken meanwhile. */
-const LOWEST = 10_000;
-const HIGHEST = 32_000;
+/** Ends below the system's range for outgoing connections, which could take a port before its process listens there. */
+const RANGE_START = 10_000;
+const RANGE_END = 32_000;
 
-/** Ports that a process claims at once. */
-const BLOCK = 32;
+/** Number of ports that a process claims at once. */
+const BLOCK_SIZE = 32;
 
-/** Ports of the blocks that this process has claimed, not given out yet. */
-const claimed: number[] = [];
+/** Ports of the blocks claimed by this process that have not been handed out yet. */
+const unusedPorts: number[] = [];
 
-const listen = (port: number): Promise<Server | undefined> =>
+const tryListen = (port: number): Promise<Server | undefined> =>
     new Promise(resolve => {
         const server = createServer();
         server.once("error", () => resolve(undefined));
@@ -21,45 +21,45 @@
     });
 
 const isFree = async (port: number): Promise<boolean> => {
-    const server = await listen(port);
+    const server = await tryListen(port);
     await new Promise<void>(resolve => server === undefined ? resolve() : server.close(() => resolve()));
     return server !== undefined;
 };
 
 /**
- * Claims a block of ports for as long as this process lives, by listening on its first one.
+ * Claims a block of ports for the lifetime of this process by listening on the first port of the block.
  *
- * Failure: a port found free is taken by another run before the process that it was meant for listens there; that process
- * does not start. Guard: of all that take their ports here, only the holder of a block gives out ports of it.
+ * Without the claim, another program could take a port that was found free before the process it was meant for listens
+ * there, and that process would not start. To prevent this, only the process that claimed a block hands out its ports.
  */
 const claimBlock = async (random: () => number): Promise<void> => {
-    const first = LOWEST + Math.floor(random() * (HIGHEST - LOWEST) / BLOCK) * BLOCK;
-    const claim = await listen(first);
-    if (claim === undefined) {
+    const firstPort = RANGE_START + Math.floor(random() * (RANGE_END - RANGE_START) / BLOCK_SIZE) * BLOCK_SIZE;
+    const blockHolder = await tryListen(firstPort);
+    if (blockHolder === undefined) {
         return claimBlock(random);
     }
-    claim.unref();
-    claimed.push(...Array.from({ length: BLOCK - 1 }, (_, i) => first + 1 + i));
+    blockHolder.unref();
+    unusedPorts.push(...Array.from({ length: BLOCK_SIZE - 1 }, (_, i) => firstPort + 1 + i));
 };
 
-const freePort = async (random: () => number): Promise<number> => {
-    const port = claimed.shift();
+const nextFreePort = async (random: () => number): Promise<number> => {
+    const port = unusedPorts.shift();
     if (port === undefined) {
         await claimBlock(random);
-        return freePort(random);
+        return nextFreePort(random);
     }
-    return await isFree(port) ? port : freePort(random);
+    return await isFree(port) ? port : nextFreePort(random);
 };
 
 /**
- * Finds free ports of the loopback address that no other process gets from here.
+ * Finds free ports on the loopback address. No other call of this function, in this or another process, returns them as
+ * well.
  *
- * @param count how many
- * @param random uniform in [0, 1)
+ * @param random source of numbers uniform in [0, 1)
  */
 export function freePorts(count: number, random: () => number = Math.random): Promise<readonly number[]> {
     return Array.from({ length: count }).reduce<Promise<readonly number[]>>(
-        async before => [...await before, await freePort(random)],
+        async before => [...await before, await nextFreePort(random)],
         Promise.resolve([]),
     );
 }
--- a/packages/bench/src/topology/startDaemonProcess.ts
+++ b/packages/bench/src/topology/startDaemonProcess.ts
@@ -6,7 +6,7 @@
 import type { ManagedProcess } from "./ManagedProcess.js";
 import { startProcess } from "./startProcess.js";
 
-/** What a daemon is started with. */
+/** Settings of one daemon. */
 type DaemonPlan = {
     readonly vm: string;
     readonly failureDomain: string;
@@ -15,7 +15,7 @@
     readonly peerPort: number;
     readonly platformUrl: string;
     readonly secret: string;
-    /** The other daemons, asked before the list of VMs is known. */
+    /** The other daemons, contacted before the list of VMs is known. */
     readonly seeds: readonly { readonly vm: string; readonly failureDomain: string; readonly address: string; }[];
     readonly adminKeyDigest: string;
     readonly policy: string;
@@ -25,7 +25,7 @@
 
 const HOST = "127.0.0.1";
 
-/** Writes the settings of a daemon and starts it. */
+/** Writes the settings file of a daemon and starts the daemon. */
 export function startDaemonProcess(plan: DaemonPlan): DaemonProcess {
     const settingsFile = `${plan.folder}/${plan.vm}.yaml`;
     const logFile = `${plan.folder}/${plan.vm}.log`;
@@ -51,7 +51,7 @@
             logFile,
             onLine: () => undefined,
         });
-    const newest = { process: launch() };
+    const state = { process: launch() };
     return {
         vm: plan.vm,
         failureDomain: plan.failureDomain,
@@ -60,9 +60,9 @@
         peer,
         settingsFile,
         logFile,
-        process: () => newest.process,
+        process: () => state.process,
         restart: () => {
-            newest.process = launch();
+            state.process = launch();
         },
     };
 }
--- a/packages/bench/src/topology/startProcess.ts
+++ b/packages/bench/src/topology/startProcess.ts
@@ -7,44 +7,43 @@
 import type { ManagedProcess } from "./ManagedProcess.js";
 
 const PACKAGES = fileURLToPath(new URL("../../../", import.meta.url));
-const KEPT_ERRORS = 4_096;
+const MAX_ERROR_CHARACTERS = 4_096;
 
-/** Children that run now; none may outlive this process, however it ends. */
+/** Running children. All are killed on exit, so that none outlives this process. */
 const running = new Set<ChildProcess>();
 process.once("exit", () => running.forEach(child => child.kill("SIGKILL")));
 
-/** What a process is started with. */
 type ProcessPlan = {
     readonly name: string;
-    /** Script below `packages/`. */
+    /** Path of the script, relative to `packages/`. */
     readonly script: string;
     readonly args: readonly string[];
-    /** File that takes its standard output; thrown away when undefined. */
+    /** File to which standard output is appended; if undefined, the output is discarded. */
     readonly logFile: string | undefined;
-    /** Called with each line of standard output. */
+    /** Called with each complete line of standard output. */
     readonly onLine: (line: string) => void;
 };
 
-/** Starts a Node process of this workspace. It dies with this process. */
+/** Starts a script of this workspace in a Node process, which is killed when this process exits. */
 export function startProcess(plan: ProcessPlan): ManagedProcess {
     const child = spawn(process.execPath, [`${PACKAGES}${plan.script}`, ...plan.args], {
         stdio: ["ignore", "pipe", "pipe"],
     });
-    const kept = { errors: "", rest: "" };
-    const log = plan.logFile === undefined ? undefined : createWriteStream(plan.logFile, { flags: "a" });
+    const output = { errors: "", partialLine: "" };
+    const logStream = plan.logFile === undefined ? undefined : createWriteStream(plan.logFile, { flags: "a" });
     child.stdout.on("data", (data: Buffer) => {
-        log?.write(data);
-        const lines = (kept.rest + data.toString("utf8")).split("\n");
-        kept.rest = lines.pop() ?? "";
+        logStream?.write(data);
+        const lines = (output.partialLine + data.toString("utf8")).split("\n");
+        output.partialLine = lines.pop() ?? "";
         lines.forEach(plan.onLine);
     });
     child.stderr.on("data", (data: Buffer) => {
-        kept.errors = (kept.errors + data.toString("utf8")).slice(-KEPT_ERRORS);
+        output.errors = (output.errors + data.toString("utf8")).slice(-MAX_ERROR_CHARACTERS);
     });
     running.add(child);
     const exited = once(child, "exit").then(() => {
         running.delete(child);
-        log?.end();
+        logStream?.end();
     });
     const hasExited = (): boolean => child.exitCode !== null || child.signalCode !== null;
     return {
@@ -57,6 +56,6 @@
         },
         hasExited,
         exited,
-        errors: () => kept.errors,
+        errors: () => output.errors,
     };
 }
--- a/packages/bench/src/topology/startStandIn.ts
+++ b/packages/bench/src/topology/startStandIn.ts
@@ -1,12 +1,12 @@
 import type { ManagedProcess } from "./ManagedProcess.js";
 import { startProcess } from "./startProcess.js";
 
-const START_BOUND_MS = 15_000;
+const START_TIMEOUT_MS = 15_000;
 
-/** A running stand-in and its base URL. */
+/** A running stand-in with its base URL. */
 type StandIn = ManagedProcess & { readonly url: string; };
 
-const urlOf = (line: string): string | undefined => {
+const readyUrl = (line: string): string | undefined => {
     try {
         const { ready, url } = JSON.parse(line) as { readonly ready?: boolean; readonly url?: string; };
         return ready === true ? url : undefined;
@@ -20,9 +20,9 @@
  * Starts a stand-in and waits until it listens.
  *
  * @param kind `platform`, `engine`, `service`, `cache` or `link`
- * @param name name of the endpoint
- * @param flags its flags without the leading dashes; one that is a switch has an empty value
- * @throws Error when it does not start
+ * @param name name of the stand-in
+ * @param flags values by flag without the leading dashes; the value of a switch is empty
+ * @throws Error if the stand-in ends or does not listen in time
  */
 export function startStandIn(kind: string, name: string, flags: Readonly<Record<string, string>>): Promise<StandIn> {
     const args = Object.entries({ name, ...flags }).flatMap(([flag, value]) =>
@@ -35,15 +35,15 @@
             args: [kind, ...args],
             logFile: undefined,
             onLine: line => {
-                const url = urlOf(line);
+                const url = readyUrl(line);
                 if (url !== undefined) {
                     clearTimeout(timer);
                     resolve({ ...started, url });
                 }
             },
         });
-        const fail = (why: string): void => reject(new Error(`${name} ${why}: ${started.errors()}`));
-        const timer = setTimeout(() => fail("did not start in time"), START_BOUND_MS);
+        const fail = (reason: string): void => reject(new Error(`${name} ${reason}: ${started.errors()}`));
+        const timer = setTimeout(() => fail("did not start in time"), START_TIMEOUT_MS);
         void started.exited.then(() => fail("ended"));
     });
 }
--- a/packages/bench/src/topology/startTopology.ts
+++ b/packages/bench/src/topology/startTopology.ts
@@ -11,22 +11,22 @@
 import { waitUntil } from "./waitUntil.js";
 
 const PORTS_PER_DAEMON = 3;
-const START_BOUND_MS = 20_000;
+const START_TIMEOUT_MS = 20_000;
 const STATUS_OK = 200;
-const STOP_BOUND_MS = 5_000;
+const STOP_TIMEOUT_MS = 5_000;
 const STANDIN_KINDS = { model: "engine", service: "service", cache: "cache" } as const;
 
 const sleep = (ms: number): Promise<void> => new Promise(resolve => setTimeout(resolve, ms).unref());
 
-const endProcess = async (target: ManagedProcess): Promise<void> => {
-    target.signal("SIGCONT");
-    target.signal("SIGTERM");
-    await Promise.race([target.exited, sleep(STOP_BOUND_MS)]);
-    target.signal("SIGKILL");
-    await target.exited;
+const endProcess = async (child: ManagedProcess): Promise<void> => {
+    child.signal("SIGCONT");
+    child.signal("SIGTERM");
+    await Promise.race([child.exited, sleep(STOP_TIMEOUT_MS)]);
+    child.signal("SIGKILL");
+    await child.exited;
 };
 
-/** Declares a daemon's VM to the platform, as a machine provider would; without it the daemons have no peers. */
+/** Declares a daemon's VM to the platform, as a machine provider would. Without this, the daemons have no peers. */
 const declareVm = async (platformUrl: string, daemon: DaemonProcess): Promise<void> => {
     const { status, text } = await callHttp({
         method: "PUT",
@@ -46,21 +46,21 @@
 const isListening = async (daemon: DaemonProcess): Promise<boolean> =>
     (await callHttp({ method: "GET", url: `${daemon.caller}/healthz` })).status === 200;
 
-/** Settles when a daemon listens, and rejects with what it wrote when it ends before. */
-const untilListening = async (daemon: DaemonProcess): Promise<void> => {
+/** Resolves when a daemon listens; rejects with its standard error if the daemon ends first. */
+const waitUntilListening = async (daemon: DaemonProcess): Promise<void> => {
     const { exited, errors } = daemon.process();
     const ended = exited.then(() => Promise.reject(new Error(`${daemon.vm} ended: ${errors()}`)));
-    await Promise.race([ended, waitUntil(`${daemon.vm} to listen`, START_BOUND_MS, () => isListening(daemon))]);
+    await Promise.race([ended, waitUntil(`${daemon.vm} to listen`, START_TIMEOUT_MS, () => isListening(daemon))]);
     ended.catch(() => undefined);
 };
 
-/** Starts a platform, endpoints and daemons as processes of their own on free ports, and waits until all listen. */
+/** Starts the platform, the endpoints and the daemons, each as a process on free ports, and waits until all listen. */
 export async function startTopology(plan: TopologyPlan): Promise<Topology> {
     const platform = await startStandIn("platform", "platform", plan.platformFlags);
     const endpoints = await Promise.all(plan.endpoints.map(async endpoint => {
         const flags = { "failure-domain": endpoint.failureDomain, ...endpoint.flags };
-        const withWeights = endpoint.kind === "model" ? { ...flags, "weights-url": platform.url } : flags;
-        const started = await startStandIn(STANDIN_KINDS[endpoint.kind], endpoint.name, withWeights);
+        const allFlags = endpoint.kind === "model" ? { ...flags, "weights-url": platform.url } : flags;
+        const started = await startStandIn(STANDIN_KINDS[endpoint.kind], endpoint.name, allFlags);
         return { ...started, kind: endpoint.kind, failureDomain: endpoint.failureDomain };
     }));
     const adminKey = `asa_${randomBytes(32).toString("base64url")}`;
@@ -87,7 +87,7 @@
         })
     );
     await Promise.all(daemons.map(daemon => declareVm(platform.url, daemon)));
-    await Promise.all(daemons.map(untilListening));
+    await Promise.all(daemons.map(waitUntilListening));
     const stop = async (): Promise<void> => {
         await Promise.all(daemons.map(daemon => endProcess(daemon.process())));
         await Promise.all([...endpoints, platform].map(endProcess));
--- a/packages/bench/src/topology/waitUntil.ts
+++ b/packages/bench/src/topology/waitUntil.ts
@@ -1,26 +1,25 @@
 const POLL_MS = 20;
 
 /**
- * Waits until a condition holds.
+ * Polls a condition until it is true.
  *
- * @param what what is waited for, for the error
- * @param boundMs longest wait in milliseconds
- * @param holds the condition; a rejection counts as not yet
+ * @param description what is awaited, for the error message
+ * @param condition an error or a rejection counts as false
  * @returns milliseconds waited
- * @throws Error when the bound is over
+ * @throws Error on timeout
  */
 export async function waitUntil(
-    what: string,
-    boundMs: number,
-    holds: () => Promise<boolean> | boolean,
+    description: string,
+    timeoutMs: number,
+    condition: () => Promise<boolean> | boolean,
 ): Promise<number> {
-    const begun = performance.now();
+    const startedAt = performance.now();
     const check = async (): Promise<number> => {
-        if (await Promise.resolve().then(holds).catch(() => false)) {
-            return performance.now() - begun;
+        if (await Promise.resolve().then(condition).catch(() => false)) {
+            return performance.now() - startedAt;
         }
-        if (performance.now() - begun > boundMs) {
-            throw new Error(`expected ${what} within ${boundMs} ms`);
+        if (performance.now() - startedAt > timeoutMs) {
+            throw new Error(`expected ${description} within ${timeoutMs} ms`);
         }
         await new Promise(resolve => setTimeout(resolve, POLL_MS));
         return check();
--- a/packages/bench/src/topology/withFolder.ts
+++ b/packages/bench/src/topology/withFolder.ts
@@ -3,25 +3,25 @@
 import { join } from "node:path";
 
 /**
- * Makes a folder for the time that something uses it.
+ * Calls a function with a new temporary folder and deletes the folder afterwards.
  *
  * @param name part of the folder's name
- * @param keeps whether the folder stays for a look at it afterwards; never when left out
+ * @param shouldKeep whether the folder is kept for inspection; by default it never is
  */
 export async function withFolder<T>(
     name: string,
     use: (folder: string) => Promise<T>,
-    keeps: (result: T) => boolean = () => false,
+    shouldKeep: (result: T) => boolean = () => false,
 ): Promise<T> {
     const folder = mkdtempSync(join(tmpdir(), `azureshunt-${name}-`));
-    const used = { isKept: false };
+    const state = { isKept: false };
     try {
         const result = await use(folder);
-        used.isKept = keeps(result);
+        state.isKept = shouldKeep(result);
         return result;
     }
     finally {
-        if (!used.isKept) {
+        if (!state.isKept) {
             rmSync(folder, { recursive: true, force: true });
         }
     }
--- a/packages/bench/src/topology/withTopology.ts
+++ b/packages/bench/src/topology/withTopology.ts
@@ -4,10 +4,10 @@
 import { withFolder } from "./withFolder.js";
 
 /**
- * Starts an installation, uses it, and ends all that was started.
+ * Starts an installation in a temporary folder, calls a function with it, and ends all processes afterwards.
  *
  * @param name part of the folder's name
- * @param planOf the installation, with its settings and logs in the folder
+ * @param planOf plans the installation, with its settings and logs in the folder
  */
 export function withTopology<T>(
     name: string,
--- a/packages/bench/src/transcript/main.ts
+++ b/packages/bench/src/transcript/main.ts
@@ -1,4 +1,4 @@
-/** Runs the command-line tool against running processes and writes what it said into a page, between two marks. */
+/** Runs the command-line tool against a running installation and writes its output into a page, between two marks. */
 import { spawn } from "node:child_process";
 import { readFileSync, writeFileSync } from "node:fs";
 import { join } from "node:path";
@@ -14,7 +14,7 @@
 
 const ROOT = fileURLToPath(new URL("../../../../", import.meta.url));
 const PAGE = `${ROOT}docs/OPERATORS.md`;
-const TOOL = `${ROOT}packages/cli/bin/azureshunt.js`;
+const CLI = `${ROOT}packages/cli/bin/azureshunt.js`;
 const BEGIN = "<!-- transcript: begin -->";
 const END = "<!-- transcript: end -->";
 const SETTLE_MS = 6_000;
@@ -33,16 +33,16 @@
     endpoint: [engine-a]
 `;
 
-/** One command of the transcript: as it is shown, and as it is run. */
-type Shown = { readonly shown: string; readonly args: readonly string[]; };
+/** One command of the transcript: the arguments as shown in the page, and those that are run. */
+type TranscriptCommand = { readonly shown: string; readonly args: readonly string[]; };
 
-const runTool = (args: readonly string[], env: NodeJS.ProcessEnv): Promise<string> =>
+const runCli = (args: readonly string[], env: NodeJS.ProcessEnv): Promise<string> =>
     new Promise(resolve => {
-        const child = spawn(process.execPath, [TOOL, ...args], { env: { ...process.env, ...env, NO_COLOR: "1" } });
-        const said: string[] = [];
-        child.stdout.on("data", (data: Buffer) => said.push(data.toString("utf8")));
-        child.stderr.on("data", (data: Buffer) => said.push(data.toString("utf8")));
-        child.once("close", code => resolve(`${said.join("").trimEnd()}\n(exit code ${code ?? "none"})`));
+        const child = spawn(process.execPath, [CLI, ...args], { env: { ...process.env, ...env, NO_COLOR: "1" } });
+        const output: string[] = [];
+        child.stdout.on("data", (data: Buffer) => output.push(data.toString("utf8")));
+        child.stderr.on("data", (data: Buffer) => output.push(data.toString("utf8")));
+        child.once("close", code => resolve(`${output.join("").trimEnd()}\n(exit code ${code ?? "none"})`));
     });
 
 const run = (): Promise<void> =>
@@ -53,14 +53,14 @@
         writeFileSync(files.first, stringify(demo.note));
         writeFileSync(files.faulty, FAULTY_NOTE);
         const env = { AZURESHUNT_URL: daemon?.admin ?? "", AZURESHUNT_KEY: topology.adminKey };
-        const record = async (commands: readonly Shown[]): Promise<readonly string[]> =>
+        const recordCommands = async (commands: readonly TranscriptCommand[]): Promise<readonly string[]> =>
             commands.reduce<Promise<readonly string[]>>(async (before, { shown, args }) => {
                 const lines = await before;
-                const said = (await runTool(args, env)).replaceAll(`${folder}/`, "");
-                return [...lines, "```", `$ azureshunt ${shown}`, said, "```", ""];
+                const output = (await runCli(args, env)).replaceAll(`${folder}/`, "");
+                return [...lines, "```", `$ azureshunt ${shown}`, output, "```", ""];
             }, Promise.resolve([]));
-        const plain = (text: string): Shown => ({ shown: text, args: text.split(" ") });
-        const first = await record([
+        const asTyped = (text: string): TranscriptCommand => ({ shown: text, args: text.split(" ") });
+        const first = await recordCommands([
             { shown: "release check faulty.yaml", args: ["release", "check", files.faulty] },
             { shown: "release apply first.yaml", args: ["release", "apply", files.first] },
             { shown: "release apply first.yaml", args: ["release", "apply", files.first] },
@@ -69,16 +69,16 @@
         const key = demo.organisations[0]?.key ?? "";
         const messages = [{ role: "user", content: "Which chain fits 205/55 R16?" }];
         const chat = await streamChat(daemon?.caller ?? "", key, demo.model, messages, 4);
-        const second = await record([
-            plain("vm list"),
-            plain("endpoint list"),
-            plain("organisation show brasov-desk"),
-            plain("key list"),
-            plain("key withdraw key-drivers"),
-            plain("release list"),
-            plain("release status"),
-            plain(`why ${chat.requestId}`),
-            plain("organisation show nobody"),
+        const second = await recordCommands([
+            asTyped("vm list"),
+            asTyped("endpoint list"),
+            asTyped("organisation show brasov-desk"),
+            asTyped("key list"),
+            asTyped("key withdraw key-drivers"),
+            asTyped("release list"),
+            asTyped("release status"),
+            asTyped(`why ${chat.requestId}`),
+            asTyped("organisation show nobody"),
         ]);
         const page = readFileSync(PAGE, "utf8");
         const [head] = page.split(BEGIN);
--- a/packages/bench/src/workload/Arrival.ts
+++ b/packages/bench/src/workload/Arrival.ts
@@ -1,16 +1,16 @@
-/** Which manual a prompt is about. */
+/** The manual of a prompt, and the standard to which the manual belongs, by index. */
 type PrefixChoice = { readonly standard: number; readonly manual: number; };
 
-/** One request that is going to be sent, whatever became of those before it. */
+/** One planned request. It is sent at its time, independent of the results of earlier requests. */
 type Arrival = {
     readonly id: number;
-    /** Milliseconds from the start of the run. */
+    /** Intended time of sending in milliseconds since the start of the run. */
     readonly at: number;
     readonly organisation: string;
     readonly kind: "long" | "short" | "booking" | "lookup";
-    /** Index of the daemon that the balancer chose. */
+    /** Index of the daemon to which the request is sent, as if chosen by a load balancer. */
     readonly daemon: number;
-    /** Undefined for calls of plain services and for short messages. */
+    /** `undefined` for calls of plain services and for short messages. */
     readonly prefix: PrefixChoice | undefined;
     readonly phase: string;
 };
--- a/packages/bench/src/workload/OrganisationLoad.ts
+++ b/packages/bench/src/workload/OrganisationLoad.ts
@@ -1,6 +1,6 @@
 /** One organisation of a workload. */
 export type OrganisationLoad = {
     readonly id: string;
-    /** Part of all requests that it sends while it keeps to its rate. */
+    /** Fraction of all requests that it sends while it keeps to its rate. */
     readonly share: number;
 };
--- a/packages/bench/src/workload/Phase.ts
+++ b/packages/bench/src/workload/Phase.ts
@@ -1,13 +1,13 @@
-/** A part of a run. Figures are given for each. */
+/** A part of a run with figures of its own. */
 export type Phase = {
     readonly name: string;
     readonly seconds: number;
-    /** How many times the workload's usual requests come. */
+    /** Factor on the usual request rate of the workload. */
     readonly intensity: number;
-    /** What the engines' costs are multiplied by; below 1 caches fill sooner. */
+    /** Factor on the times that the engines take. Below 1, their caches fill sooner. */
     readonly engineSlowness: number;
     /** Whether the noisy organisation sends several times its rate. */
     readonly noisy: boolean;
-    /** By how many places the ranking of hot prefixes is turned. */
+    /** Number of places by which the popularity ranking of the prefixes is rotated. */
     readonly shift: number;
 };
--- a/packages/bench/src/workload/Workload.ts
+++ b/packages/bench/src/workload/Workload.ts
@@ -1,29 +1,29 @@
 import type { OrganisationLoad } from "./OrganisationLoad.js";
 
-/** How the prefixes of prompts are nested: tenant instructions, standards inside them, manuals inside these. */
+/** Nesting of prompt prefixes: instructions of the organisation, then a standard, then a manual of that standard. */
 type PrefixShape = {
     readonly instructionPieces: number;
     readonly standards: number;
     readonly standardPieces: number;
     readonly manualsPerStandard: number;
     readonly manualPieces: number;
-    /** Exponent of the Zipf law by which standards and manuals are chosen. */
+    /** Exponent of the Zipf distribution by which standards and manuals are chosen. */
     readonly skew: number;
 };
 
-/** What a request asks for, by kind. Parts sum to 1. */
+/** Fractions of the kinds of request; they sum to 1. */
 type RequestMix = {
-    /** A question over a manual. */
+    /** A question about a manual. */
     readonly long: number;
-    /** A short message over the tenant's instructions alone. */
+    /** A short message with the instructions of the organisation as its only prefix. */
     readonly short: number;
-    /** A call of the plain service that may not be repeated. */
+    /** A call of the plain service that must not be repeated. */
     readonly booking: number;
-    /** A call of the plain service that may be. */
+    /** A call of the plain service that may be repeated. */
     readonly lookup: number;
 };
 
-/** The constants of the model engines. */
+/** Parameters of the simulated model engines. */
 type EngineShape = {
     readonly prefillUsPerToken: number;
     readonly decodeMsPerToken: number;
@@ -35,7 +35,7 @@
     readonly loadLagMs: number;
 };
 
-/** A deployment and the traffic on it. */
+/** An installation and the traffic on it. */
 type Workload = {
     readonly name: string;
     readonly title: string;
@@ -45,7 +45,7 @@
     readonly daemons: number;
     readonly engine: EngineShape;
     readonly organisations: readonly OrganisationLoad[];
-    /** The organisation that sends several times its rate, and how many times. */
+    /** The organisation that sends several times its rate in the noisy phase, and the factor on its rate. */
     readonly noisy: { readonly id: string; readonly factor: number; };
     readonly prefixes: PrefixShape;
     readonly mix: RequestMix;
@@ -53,9 +53,9 @@
     readonly questionTokens: number;
     readonly longAnswerTokens: number;
     readonly shortAnswerTokens: number;
-    /** How much more than its expected use an organisation's rate allows. */
+    /** Factor on the expected use of an organisation that gives its rate. */
     readonly rateHeadroom: number;
-    /** Seconds of an organisation's rate that its burst holds. */
+    /** Seconds of an organisation's rate that its burst covers. */
     readonly burstSeconds: number;
 };
 
--- a/packages/bench/src/workload/allowanceOf.ts
+++ b/packages/bench/src/workload/allowanceOf.ts
@@ -1,12 +1,13 @@
 import { costOf } from "./costOf.js";
 import type { Workload } from "./Workload.js";
 
-/** An organisation's rate in tokens a second, and its burst in tokens. */
+/** The rate of an organisation in tokens per second, and its burst in tokens. */
 type Allowance = { readonly rate: number; readonly burst: number; };
 
-/** The allowance of an organisation: its expected use and some headroom. */
+/** Returns the allowance of an organisation: its expected use times the headroom of the workload. */
 export function allowanceOf(workload: Workload, share: number): Allowance {
-    const perRequest = workload.mix.long * costOf(workload, "long") + workload.mix.short * costOf(workload, "short");
-    const rate = Math.ceil(workload.requestsPerSecond * share * perRequest * workload.rateHeadroom);
+    const tokensPerRequest = workload.mix.long * costOf(workload, "long") +
+        workload.mix.short * costOf(workload, "short");
+    const rate = Math.ceil(workload.requestsPerSecond * share * tokensPerRequest * workload.rateHeadroom);
     return { rate, burst: Math.ceil(rate * workload.burstSeconds) };
 }
--- a/packages/bench/src/workload/hoangLong.ts
+++ b/packages/bench/src/workload/hoangLong.ts
@@ -1,6 +1,6 @@
 import type { Workload } from "./Workload.js";
 
-/** Hoang Long: 13 model replicas; plan reviews over nested standards, and permit filings that may not be repeated. */
+/** Hoang Long: 13 model replicas; plan reviews over nested standards, and permit filings that must not be repeated. */
 const hoangLong: Workload = {
     name: "hoang-long",
     title: "Hoang Long",
--- a/packages/bench/src/workload/lantulAlb.ts
+++ b/packages/bench/src/workload/lantulAlb.ts
@@ -1,6 +1,6 @@
 import type { Workload } from "./Workload.js";
 
-/** Lanțul Alb: 8 model replicas; long fitting manuals, and short messages that are tagged quickly. */
+/** Lanțul Alb: 8 model replicas; long fitting manuals, and short messages with short answers. */
 const lantulAlb: Workload = {
     name: "lantul-alb",
     title: "Lanțul Alb",
--- a/packages/bench/src/workload/phasesOf.ts
+++ b/packages/bench/src/workload/phasesOf.ts
@@ -1,22 +1,22 @@
 import type { Phase } from "./Phase.js";
 
 const WARM_UP_SECONDS = 2;
-/** Well below the headroom of the organisations' rates, so that allowances, which begin empty, fill meanwhile. */
+/** Well below the headroom of the organisations' rates, so that allowances, which start empty, fill during the warm-up. */
 const WARM_UP_INTENSITY = 1.2;
 const WARM_UP_SLOWNESS = 0.05;
-const STEADY_PART = 0.4;
-const NOISY_PART = 0.3;
+const STEADY_FRACTION = 0.4;
+const NOISY_FRACTION = 0.3;
 const SHIFT_PLACES = 5;
 
 const USUAL = { intensity: 1, engineSlowness: 1, noisy: false, shift: 0 } as const;
 
 /**
- * Divides a run into its phases. The warm-up comes first, on engines that are sped up; its length is always the same.
+ * Returns the phases of a run. The first is the warm-up, of constant length and with faster engines.
  *
- * @param seconds length of all the others together
+ * @param seconds total length of the other phases
  */
 export function phasesOf(seconds: number): readonly Phase[] {
-    const rest = 1 - STEADY_PART - NOISY_PART;
+    const shiftedFraction = 1 - STEADY_FRACTION - NOISY_FRACTION;
     return [
         {
             ...USUAL,
@@ -25,8 +25,8 @@
             intensity: WARM_UP_INTENSITY,
             engineSlowness: WARM_UP_SLOWNESS,
         },
-        { ...USUAL, name: "steady", seconds: seconds * STEADY_PART },
-        { ...USUAL, name: "noisy", seconds: seconds * NOISY_PART, noisy: true },
-        { ...USUAL, name: "shifted", seconds: seconds * rest, shift: SHIFT_PLACES },
+        { ...USUAL, name: "steady", seconds: seconds * STEADY_FRACTION },
+        { ...USUAL, name: "noisy", seconds: seconds * NOISY_FRACTION, noisy: true },
+        { ...USUAL, name: "shifted", seconds: seconds * shiftedFraction, shift: SHIFT_PLACES },
     ];
 }
--- a/packages/bench/src/workload/planArrivals.ts
+++ b/packages/bench/src/workload/planArrivals.ts
@@ -7,7 +7,7 @@
 const MS_PER_SECOND = 1_000;
 const KINDS = ["long", "short", "booking", "lookup"] as const;
 
-/** One request's draws, made in the same order for every request so that runs of one seed stay alike. */
+/** Random numbers of one request, drawn in the same order for every request so that equal seeds give equal runs. */
 type Draws = {
     readonly gap: number;
     readonly organisation: number;
@@ -39,7 +39,7 @@
     };
 };
 
-const weightsIn = ({ organisations, noisy, rateHeadroom }: Workload, phase: Phase): readonly number[] =>
+const organisationWeights = ({ organisations, noisy, rateHeadroom }: Workload, phase: Phase): readonly number[] =>
     organisations.map(({ id, share }) => share * (phase.noisy && id === noisy.id ? noisy.factor * rateHeadroom : 1));
 
 const planPhase = (
@@ -48,14 +48,14 @@
     from: number,
     random: () => number,
 ): readonly Omit<Arrival, "id">[] => {
-    const weights = weightsIn(workload, phase);
-    const weight = weights.reduce((sum, one) => sum + one, 0);
-    const perMs = workload.requestsPerSecond * phase.intensity * weight / MS_PER_SECOND;
+    const weights = organisationWeights(workload, phase);
+    const totalWeight = weights.reduce((sum, one) => sum + one, 0);
+    const requestsPerMs = workload.requestsPerSecond * phase.intensity * totalWeight / MS_PER_SECOND;
     const end = from + phase.seconds * MS_PER_SECOND;
     const arrivals: Omit<Arrival, "id">[] = [];
     for (let at = from;;) {
         const draws = draw(random);
-        at -= Math.log(1 - draws.gap) / perMs;
+        at -= Math.log(1 - draws.gap) / requestsPerMs;
         if (at >= end) {
             return arrivals;
         }
@@ -71,7 +71,7 @@
     }
 };
 
-/** Plans all requests of a run: a Poisson process, the same for the same seed. */
+/** Plans all requests of a run as a Poisson process; the same seed gives the same plan. */
 export function planArrivals(workload: Workload, phases: readonly Phase[], seed: number): readonly Arrival[] {
     const random = seededRandom(seed);
     const { planned } = phases.reduce<{ readonly from: number; readonly planned: readonly Omit<Arrival, "id">[]; }>(
--- a/packages/bench/src/workload/seededRandom.ts
+++ b/packages/bench/src/workload/seededRandom.ts
@@ -1,7 +1,7 @@
 import { uniformFloat64 } from "pure-rand/distribution/uniformFloat64";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 
-/** Creates a source of numbers uniform in [0, 1) that gives the same ones for the same seed. */
+/** Creates a source of random numbers, uniform in [0, 1), with the same sequence for the same seed. */
 export function seededRandom(seed: number): () => number {
     const generator = xoroshiro128plus(seed);
     return () => uniformFloat64(generator);
--- a/packages/bench/src/workload/workloads.ts
+++ b/packages/bench/src/workload/workloads.ts
@@ -2,7 +2,7 @@
 import { lantulAlb } from "./lantulAlb.js";
 import type { Workload } from "./Workload.js";
 
-/** The workloads that are measured. */
+/** All workloads that `measure` runs. */
 const workloads: readonly Workload[] = [lantulAlb, hoangLong];
 
 export { workloads };
