--- a/spec/allowance.pml
+++ b/spec/allowance.pml
@@ -1,21 +1,25 @@
 /*
- * The allowance of one organisation in one failure domain: two VMs that are home one after the other, and a taker.
+ * The allowance of one organisation in one failure domain: two VMs that are its home in succession, and one taker, a
+ * VM that asks the home for grants.
  *
  * Models `advanceBucket`, `answerAsk`, `askHome`, `applyAnswer`, `handOverBucket` and `receiveBucket` of
- * packages/allowance, and the waiting of `servesFrom` of packages/membership. Asks and answers are lost, late and
- * repeated; the first home is restarted, or dies and is dropped, or hands over. Discrete time; one token accrues a tick.
+ * packages/allowance, and the waiting time of `servesFrom` of packages/membership. Asks and answers may be lost,
+ * delayed or repeated; the first home may be restarted, die and be dropped, or hand over. Time is discrete; one token
+ * accrues per tick.
  *
- * Holds: a token bucket of the whole domain that starts full never goes below zero, which is the same as spending at
- * most burst + rate * t over any interval.
- * -DNO_SEQ            the home takes a repeated ask.
- * -DNO_PENDING        the taker takes an answer to an ask that it has given up.
- * -DNO_ASKED          a grant expires counted from its answer, not from when it was asked for.
- * -DNO_OUTSTANDING    the home accrues without counting what stands out.
- * -DNO_DEBIT          the taker keeps what it hands back.
- * -DNO_BOUND          the home credits more than stands out.
- * -DNO_WAIT           a new home serves before the former one's grants have run out.
+ * Property: a token bucket of the whole domain that starts full never goes below zero. This is equivalent to spending
+ * at most burst + rate * t over any interval.
+ *
+ * Each of these removes one guard:
+ * -DNO_SEQ            the home accepts a repeated ask.
+ * -DNO_PENDING        the taker accepts an answer to an ask that it has given up.
+ * -DNO_ASKED          the lifetime of a grant is measured from its answer instead of from its ask.
+ * -DNO_OUTSTANDING    the home accrues without counting the outstanding tokens.
+ * -DNO_DEBIT          the taker keeps the tokens that it hands back.
+ * -DNO_BOUND          the home credits more than the outstanding tokens.
+ * -DNO_WAIT           a new home serves before the grants of the former home have expired.
  * -DNO_EMPTY          a new home starts full.
- * -DNO_LAPSING        a hand-over leaves out what stands out.
+ * -DNO_LAPSING        a hand-over omits the outstanding tokens.
  */
 #define BURST 2
 #define GRANT 2
@@ -31,7 +35,7 @@
 byte now = 0;
 byte reference = BURST;
 
-/* The homes' buckets. */
+/* The buckets of the homes. */
 bool serving[HOMES];
 byte servesAt[HOMES] = NONE;
 byte process[HOMES];
@@ -44,7 +48,7 @@
 byte lapsesAt[HOMES];
 bool hadFault = false;
 
-/* What the taker holds of each home. */
+/* The taker's state for each home. */
 byte left[HOMES];
 byte expires[HOMES];
 byte seq[HOMES];
@@ -52,7 +56,7 @@
 byte pendingSince[HOMES] = NONE;
 byte knownRun[HOMES];
 
-/* Messages under way. */
+/* Messages in transit. */
 bool asking[SLOTS];
 byte askTo[SLOTS];
 byte askRun[SLOTS];
@@ -122,7 +126,7 @@
     }
 }
 
-/* The taker asks home h, handing back either nothing or all that it holds. */
+/* The taker asks home h for a grant and hands back either nothing or all tokens that it holds. */
 inline ask() {
     if
     :: expires[h] <= now -> left[h] = 0
@@ -152,7 +156,7 @@
 #define IS_NEW (askSeq[i] > lastSeq[h])
 #endif
 
-/* Home h takes ask i, and answers in slot j. */
+/* Home h processes ask i and answers in slot j. */
 inline takeAsk() {
     mine = (askRun[i] == process[h]);
     extended = (askHeld[i] == 0) || (mine && askHeld[i] <= outstanding[h]);
@@ -206,7 +210,7 @@
 #define COUNTED_FROM (pendingSince[h] == NONE -> now : pendingSince[h])
 #endif
 
-/* The taker takes answer j of home h. */
+/* The taker applies answer j of home h. */
 inline takeAnswer() {
     left[h] = answerGrant[j] + (answerExtended[j] -> left[h] : 0);
     expires[h] = COUNTED_FROM + GRANT;
@@ -215,7 +219,7 @@
     pendingSince[h] = NONE
 }
 
-/* A new process on the first VM, or the second VM after the first one was dropped: it starts empty, after a wait. */
+/* Starts a home empty, after a wait: a new process on the first VM, or the second VM after the first was dropped. */
 inline startAnew(vm) {
     process[vm]++;
     serving[vm] = false;
@@ -271,7 +275,7 @@
             if
             :: asking[i] = false; askTo[i] = 0; askRun[i] = 0; askSeq[i] = 0; askApplied[i] = 0;
                 askHeld[i] = 0; askBack[i] = 0
-            :: true     /* it will come again */
+            :: true     /* the ask arrives again later */
             fi
         :: else
         fi;
@@ -316,7 +320,7 @@
             balance[1] = handedBalance;
             lapsing[1] = handedOutstanding;
             lapsesAt[1] = now + KEEP
-        :: startAnew(1)     /* the message is lost; asked again, the former home vouches for nothing */
+        :: startAnew(1)     /* the hand-over is lost; asked again, the former home confirms nothing */
         fi;
         handedBalance = 0;
         handedOutstanding = 0
--- a/spec/configuration.pml
+++ b/spec/configuration.pml
@@ -1,30 +1,30 @@
 /*
- * The configuration: several readers fold one log whose records expire, and pull from one another.
+ * The configuration: several readers fold one log whose records expire, and pull state from one another.
  *
- * Models foldRecord, adoptState and snapshotRecord of packages/release, and of packages/daemon/src/configuration the
- * tailing of the log (stepReader), the operator's append with a lost answer (createReleasePort: accept), the gossip and
- * the re-appending of snapshots. Left out: contents of notes (a note is its id), times, and messages' transport.
+ * Models foldRecord, adoptState and snapshotRecord of packages/release, and from packages/daemon/src/configuration the
+ * tailing of the log (stepReader), the operator's append whose answer is lost (createReleasePort: accept), gossip, and
+ * the re-appending of snapshots. Not modelled: the contents of notes (a note is its id), time, and message transport.
  *
- * Claims: a reader's revision never goes back; no two readers differ at a revision; a note written against a revision
- * is accepted only right behind it; a note takes effect at most once; and when nothing is appended any more, every
- * reader reaches the newest revision (else a reader is left in an invalid end state).
+ * Properties: the revision of a reader never goes back; two readers never differ at the same revision; a note written
+ * against a revision is accepted only directly after it; a note takes effect at most once; and once nothing more is
+ * appended, every reader reaches the newest revision (otherwise a reader is left in an invalid end state).
  *
- * Companion runs remove one guard each: -DNO_BASE, -DNO_REPEAT, -DNO_GAP, -DNO_FURTHER, -DNO_IDS, -DNO_REFRESH.
+ * Each of these removes one guard: -DNO_BASE, -DNO_REPEAT, -DNO_GAP, -DNO_FURTHER, -DNO_IDS, -DNO_REFRESH.
  */
 
 #define READERS 2
 #define OPERATORS 2
-#define SLOTS 4          /* records that the log takes in a run */
-#define SNAPSHOTS 1      /* snapshots that are appended in a run */
+#define SLOTS 4          /* maximum records in the log in a run */
+#define SNAPSHOTS 1      /* snapshots appended in a run */
 #define PULLS 2          /* pulls from a peer in a run */
 #define NO_BASE_GIVEN 7  /* a note that names no base revision */
 #define REVISIONS 8
 
-/* A reader's fold, and the same in a snapshot record or on its way from a peer. */
+/* The folded state of a reader, in a snapshot record, or in transit from a peer. */
 typedef Fold {
     byte offset;         /* next record to fold */
     byte revision;
-    byte digest;         /* chained over the accepted notes' ids */
+    byte digest;         /* chained over the ids of the accepted notes */
     byte ids             /* bit set of the record ids folded so far */
 };
 
@@ -39,20 +39,20 @@
 byte logStart = 0;
 byte logEnd = 0;
 Fold reader[READERS];
-Fold pulled[READERS];    /* a peer's answer on its way */
+Fold pulled[READERS];    /* a peer's answer in transit */
 bool isPulled[READERS];
 byte pulls = 0;
 byte operatorsDone = 0;
-byte snapshotsTaken = 0; /* begun */
+byte snapshotsTaken = 0; /* snapshots taken, perhaps not yet appended */
 byte snapshotsDone = 0;
-byte seen[REVISIONS];    /* digest that the first reader had at a revision */
-byte last = 0;           /* revision that the first reader ended with, plus 1 */
+byte seen[REVISIONS];    /* digest of the first reader to reach a revision */
+byte last = 0;           /* final revision of the first reader to finish, plus 1 */
 
 inline copy(to, from) {
     to.offset = from.offset; to.revision = from.revision; to.digest = from.digest; to.ids = from.ids
 }
 
-/* What every change of a reader's fold is checked against. */
+/* Checks the properties after each change of a reader's state. */
 inline observe(me, before) {
     assert(reader[me].revision >= before);
     if
@@ -100,7 +100,7 @@
     fi
 }
 
-/* foldRecord behind a gap: the first snapshot that is further on than the reader */
+/* foldRecord after a gap: adopts the first snapshot that is ahead of the reader */
 inline crossGap(me, at) {
 #ifdef NO_GAP
     reader[me].offset = logStart
@@ -159,7 +159,7 @@
     od
 }
 
-/* Appends one note through its own reader; where the answer is lost it appends the same record id again. */
+/* Appends one note through its own reader; if the answer is lost, appends the same record id again. */
 proctype Operator(byte id; byte via; bool givesBase; byte most) {
     byte base = NO_BASE_GIVEN;
     byte tries = 0;
@@ -175,14 +175,14 @@
         log[logEnd].base = base;
         logEnd++;
         tries++ }
-    :: d_step { tries > 0 ->            /* answered, or found its own id */
+    :: d_step { tries > 0 ->            /* answered, or found its id in the log */
         base = 0;
         tries = 0;
         operatorsDone++ } break
     od
 }
 
-/* Writes a reader's fold as a snapshot; it may be old by the time that the log takes it. */
+/* Appends a reader's state as a snapshot, which may be outdated by the time it is appended. */
 proctype Snapshotter(byte via) {
     Fold taken;
     d_step {
@@ -199,7 +199,7 @@
         snapshotsDone++ }
 }
 
-/* Drops the oldest record. A snapshot that holds it stands in the log before that: it is re-appended in good time. */
+/* Drops the oldest record, only once the log contains a snapshot that covers it: snapshots are re-appended in time. */
 proctype Retention() {
     byte at;
     bool isHeld;
--- a/spec/intent.pml
+++ b/spec/intent.pml
@@ -1,15 +1,15 @@
 /*
- * Intents of requests that may not be repeated: at most one run of a key.
+ * Intents of requests that must not be repeated: a key has at most one run.
  *
- * Models packages/intent: foldIntents (the first intent since the key was free owns it), standingOf (only the owner is
- * free to go), beginIntent, withdrawIntent, verdictOfTaken (nobody takes over). Daemons pause between any two steps, die
- * and come back with nothing; the log drops appends, takes them late and in any order, and the answer tells nothing: a
- * daemon goes by what it reads back.
+ * Models packages/intent: foldIntents (the first intent since the key was free owns it), standingOf (only the owner
+ * may begin), beginIntent, withdrawIntent, verdictOfTaken (no daemon takes over). Daemons may pause between any two
+ * steps, or die and restart without state. The log may drop appends, or accept them late and in any order. A daemon
+ * ignores the answers to its appends and relies only on what it reads back.
  *
- * Companion runs, each with one guard removed, have to find the violation:
- *   ANY_INTENT          the last intent owns the key, not the first
- *   TAKE_OVER           a daemon dispatches in the place of an owner that does not answer
- *   BEGIN_WITHDRAWN     an intent may begin after its withdrawal has been sent
+ * Each of these removes one guard, and the violation must be found:
+ *   ANY_INTENT          the last intent owns the key instead of the first
+ *   TAKE_OVER           a daemon dispatches in place of an owner that does not answer
+ *   BEGIN_WITHDRAWN     an intent may begin after its withdrawal was sent
  *   WITHDRAW_BEGUN      an intent may be withdrawn after it has begun
  */
 #ifndef DAEMONS
@@ -37,7 +37,7 @@
 mtype = { none, open, begun, withdrawn };
 
 byte intents;               /* intents written so far; their ids count from 1 */
-bit sentIntent[4];          /* appends on their way to the log */
+bit sentIntent[4];          /* appends in transit to the log */
 bit sentWithdrawal[4];
 byte end;                   /* records in the log */
 byte ownerAt[RECORDS];      /* owner of the key after folding that many records; 0 is none */
@@ -67,7 +67,7 @@
     }
 }
 
-/* An append that is dropped is one that this process never takes. */
+/* A dropped append is one that this process never processes. */
 active proctype Log() {
 end_log:
     do
@@ -96,19 +96,19 @@
     :: seen < end -> seen = end
     /* beginIntent: the intent has been read back and owns the key as far as this daemon has read. */
     :: atomic { (mine != 0 && logged[mine] && loggedAt[mine] <= seen && OWNS && MAY_BEGIN) -> phase = begun };
-    /* It may stop here for any time, or die. */
+    /* The daemon may pause here for any time, or die. */
        if
        :: atomic { runs++; assert(runs <= 1) }
        :: mine = 0; phase = none; seen = 0
        fi
-    /* withdrawIntent: first here, then by record. */
+    /* withdrawIntent: first in the daemon's state, then by a record. */
     :: atomic { (mine != 0 && MAY_WITHDRAW) ->
         phase = withdrawn;
         sentWithdrawal[mine] = 1
        }
     /* Done with a withdrawn intent: a repeated call may write a new one. */
     :: atomic { mine != 0 && phase == withdrawn -> mine = 0; phase = none }
-    /* The process dies; the next one on this VM knows nothing and reads the log anew. */
+    /* The process dies; the next one on this VM starts without state and reads the log again. */
     :: atomic { mine != 0 -> mine = 0; phase = none; seen = 0 }
     od
 }
--- a/spec/keyFreshness.pml
+++ b/spec/keyFreshness.pml
@@ -1,19 +1,23 @@
 /*
- * The freshness of keys: a VM serves a key only while it knows that its configuration was the newest a short time ago.
+ * The freshness of keys: a VM serves a key only while its configuration is confirmed as the newest of a short time
+ * ago.
  *
- * Models `stepKnowledge` (a process takes only later revisions; evidence is as of the sending of a read, or of the beacon
- * that vouches for it, which is told by the receiver's own stamp that came back in it; a pause voids it, and all that was
- * sent before) and the check of `admitRequest` of packages/router. Revision 2 withdraws the key.
- * Two VMs, discrete time, reads that answer late, beacons that lie in a buffer, VMs that are suspended and whose clocks stand
- * still meanwhile.
+ * Models `stepKnowledge` (a process adopts only later revisions; a revision is confirmed as of the sending of a read,
+ * or of the beacon that confirms it, whose sending time follows from the receiver's own timestamp echoed in it; a
+ * suspension voids the confirmation and everything sent before it) and the check of `admitRequest` of packages/router.
+ * Revision 2 withdraws the key. Two VMs, discrete time, reads that are answered late, beacons that wait in a buffer,
+ * and VMs that are suspended while their clocks stand still.
  *
- * Holds: the withdrawn key is not served later than KEYS after the withdrawal; a VM never goes back a revision.
- * -DNO_ASKED counts evidence from a read's answer: what lay on the way counts as fresh.
- * -DNO_ECHO counts a beacon from its reading: what lay in a suspended VM's buffer counts as fresh.
- * -DNO_AGE leaves out the age that the teller gave: two VMs confirm each other for ever.
- * -DNO_PAUSE leaves a suspension unnoticed: its time does not count.
- * -DNO_VOID takes answers to what was sent before a suspension: its time does not count either.
- * -DNO_LATER takes any revision: a late answer brings the key back.
+ * Properties: the withdrawn key is not served later than KEYS after the withdrawal; the revision of a VM never goes
+ * back.
+ *
+ * Each of these removes one guard:
+ * -DNO_ASKED measures from the answer to a read, so a delayed answer counts as fresh.
+ * -DNO_ECHO measures from the reading of a beacon, so a beacon from the buffer of a suspended VM counts as fresh.
+ * -DNO_AGE ignores the age that the sender states, so two VMs confirm each other forever.
+ * -DNO_PAUSE ignores suspensions, so their time is not counted.
+ * -DNO_VOID accepts answers to reads sent before a suspension, so its time is not counted either.
+ * -DNO_LATER adopts any revision, so a late answer brings the key back.
  */
 #define KEYS 1
 #define MAX_TIME 5
@@ -27,21 +31,22 @@
 byte lost[2];
 bool unnoticed[2];
 byte revision[2];
-byte pausedAt[2];            /* own clock of the last suspension noticed; 0: none */
-byte confirmed[2];           /* on the VM's own clock; NEVER: nothing is confirmed */
+byte pausedAt[2];            /* own clock at the last detected suspension; 0: none */
+byte confirmed[2];           /* own clock as of which the revision was newest; NEVER: unconfirmed */
 
 #define CLOCK(vm) (now - lost[vm])
 
-/* One read of each VM: when it was sent on the VM's own clock, and what the store said (0: not yet). */
+/* One read of each VM: when it was sent by the VM's own clock, and the store's answer (0: not yet). */
 bool reading[2];
 byte readSent[2];
 byte readSaid[2];
 
-/* The newest stamp of each VM that the other has got: its own clock, and when that was. */
+/* The newest timestamp of each VM that the other has received: the VM's own clock, and when it was received. */
 byte stamp[2];
 byte stampAt[2];
 
-/* One beacon to each VM, in its buffer: revision and age of its evidence, the receiver's stamp, and how long that was held. */
+/* One beacon to each VM, in its buffer: the revision, the age of its confirmation, the receiver's echoed timestamp, and
+ * how long the sender had kept that timestamp. */
 byte told[2];
 byte toldAge[2];
 byte toldStamp[2];
@@ -91,7 +96,7 @@
 #endif
     }
     :: atomic { self == 0 && !unnoticed[self] && !reading[self] -> reading[self] = true; readSent[self] = CLOCK(self); readSaid[self] = 0 }
-    /* The second VM's reads are answered at once, which leaves the search small; what is late is the first one's. */
+    /* Reads of the second VM are answered at once, to keep the search small; only reads of the first are late. */
     :: atomic { self == 1 && (revision[self] != newest || confirmed[self] != CLOCK(self)) ->
         revision[self] = newest;
         confirmed[self] = CLOCK(self)
@@ -112,7 +117,7 @@
         readSaid[self] = 0
     }
     :: atomic { self == 0 && !unnoticed[self] && stamp[self] != CLOCK(self) -> stamp[self] = CLOCK(self); stampAt[self] = now }
-    /* The other VM tells what it knows. */
+    /* The other VM sends its revision. */
     :: atomic { self == 0 && !unnoticed[other] && told[self] == 0 && stamp[self] != 0 && confirmed[other] != NEVER ->
         told[self] = revision[other];
         toldAge[self] = CLOCK(other) - confirmed[other];
@@ -142,7 +147,7 @@
         toldStamp[self] = 0;
         toldHeld[self] = 0
     }
-    /* A request with the key: it is served only on fresh evidence. */
+    /* A request with the key is served only if the revision was confirmed recently. */
     :: atomic { !unnoticed[self] && revision[self] == 1 && confirmed[self] != NEVER && CLOCK(self) - confirmed[self] <= KEYS ->
         assert(withdrawnAt == 0 || now <= withdrawnAt + KEYS)
     }
--- a/spec/lateOrders.pml
+++ b/spec/lateOrders.pml
@@ -1,21 +1,22 @@
 /*
- * Orders that get no answer and are carried out long after they were sent, at one engine.
+ * Weights orders to one engine that remain unanswered and are executed long after they were sent.
  *
- * Models `startOrders` of packages/router: each order carries the number of orders that the engine's last report showed, and
- * goes out only for a version above the one in that report. Versions are named one after the other; orders are answered,
- * or carried out later, after newer ones. A restarted engine has another name, which orders carry too.
+ * Models `startOrders` of packages/router: each order carries the number of accepted orders in the engine's last
+ * report, and is sent only for a version above the version in that report. Target versions are set in ascending order.
+ * An order is answered, or executed later, possibly after newer ones. A restarted engine has another incarnation,
+ * which orders carry too.
  *
- * Holds: the engine's version never goes back.
- * -DNO_EXPECT takes the engine's check of its count away: a late order brings old weights back.
+ * Property: the version of the engine never goes back.
+ * -DNO_EXPECT removes the engine's check of that number: a late order brings old weights back.
  */
 #define VERSIONS 3
 #define LATE 2
-#define MOST_ORDERS 8            /* more are not accepted in any run */
+#define MOST_ORDERS 8            /* upper bound on the orders accepted in any run */
 
 byte named = 1;
 byte version = 0;
 byte count = 0;              /* orders that the engine has accepted */
-byte loading = 0;            /* version that it is taking; 0: none */
+byte loading = 0;            /* version that it is loading; 0: none */
 
 byte lateVersion[LATE];
 byte lateExpect[LATE];
--- a/spec/lease.pml
+++ b/spec/lease.pml
@@ -1,15 +1,19 @@
 /*
- * The order lease of a failure domain, agreed through the log alone, and an engine that takes orders.
+ * The order lease of a failure domain, agreed on through the log alone, and an engine that executes orders.
  *
- * Models `stepLease` (records count only right behind the last one their writer knew; claims wait for the lease's whole
- * time; holding counts from when it was asked for) and `mayOrder` of packages/fleet, and the engine's check of fencing
- * numbers. Two daemons, discrete time, reads and appends of any lateness, lost appends, pauses anywhere: a process that
- * is not scheduled is a process that is paused.
+ * Models `stepLease` (a record is valid only directly after the last record that its writer knew; a claim waits for
+ * the full lease time; the lease is measured from when it was requested) and `mayOrder` of packages/fleet, and the
+ * engine's check of fencing numbers. Two daemons, discrete time, reads and appends with any delay, lost appends,
+ * suspensions at any point: a process that is not scheduled is suspended.
  *
- * Holds: never two holders; an engine that checks never executes an order of an older lease after a newer one's.
- * -DNO_AFTER takes the comparison of offsets away: two daemons hold the lease at once.
- * -DNO_WAIT lets a daemon claim without waiting for the former holder's time: two daemons hold the lease at once.
- * -DNO_FENCING takes the engine's check away: an order sent before a pause is executed after a newer holder's.
+ * Properties: there are never two holders; an engine that checks fencing numbers never executes an order of an older
+ * lease after one of a newer lease.
+ *
+ * Each of these removes one guard:
+ * -DNO_AFTER removes the comparison of offsets: two daemons hold the lease at once.
+ * -DNO_WAIT lets a daemon claim without waiting until the former holder's lease has expired: two daemons hold it at
+ * once.
+ * -DNO_FENCING removes the engine's check: an order sent before a suspension is executed after one of a newer holder.
  */
 #define TTL 2
 #define MAX_TIME 7
@@ -19,11 +23,11 @@
 byte now = 0;
 byte logLength = 0;
 byte logWriter[MAX_LOG];
-byte logAfter[MAX_LOG];      /* 0: before the first record, else offset + 1 of the last one known */
+byte logAfter[MAX_LOG];      /* offset + 1 of the last record known to the writer; 0: none */
 bool logIsClaim[MAX_LOG];
 byte logFencing[MAX_LOG];    /* offset + 1 of the claim */
 
-/* The append of each daemon that is on its way, or has landed at an offset. */
+/* The append of each daemon: in transit, or stored at an offset. */
 bool flying[2];
 bool flyingIsClaim[2];
 byte flyingAfter[2];
@@ -90,7 +94,7 @@
     :: atomic { !asked && heldUntil[self] <= now && FORMER_IS_OVER -> ask(true, 0) }
     :: atomic { !asked && heldUntil[self] > now && holder == self -> ask(false, holderFencing) }
     :: atomic { heldUntil[self] > now && holder == self -> sentFencing = holderFencing };
-        /* The process may be paused here, with its order on the way. */
+        /* The process may be suspended here, with its order in transit. */
         atomic {
 #ifndef NO_FENCING
             if
@@ -107,7 +111,7 @@
     od
 }
 
-/* Lands each append at any later time, or loses it. */
+/* Stores each append at any later time, or loses it. */
 active proctype Network() {
     byte who = 0;
     do
--- a/spec/orderLease.pml
+++ b/spec/orderLease.pml
@@ -1,19 +1,21 @@
 /*
- * The order lease on a platform whose store appends under a condition.
+ * The order lease on a platform whose store supports conditional appends.
  *
- * Models `stepOrderLease` (a claim is appended only at the known end of the stream; another VM claims when the last record
- * has lain there for the holding time and an engine's time; holding counts from when the claim was sent; a lost answer makes
- * the end unknown; a pause voids the lease, and claims that were sent before it) and `orderFence` of packages/router. Two
- * VMs, discrete time, appends that land late, are answered late or never, a VM that is suspended while its clock stands
- * still.
+ * Models `stepOrderLease` (a claim is appended only at the known end of the stream; another VM claims once the last
+ * record has been there for the holding time (HOLD) plus the time that an order binds an engine (LEASE); the lease is
+ * measured from the sending of the claim; a lost answer makes the end unknown; a suspension voids the lease and all
+ * claims sent before it) and `orderFence` of packages/router. Two VMs, discrete time, appends that are stored late, or
+ * answered late or never, and a VM that is suspended while its clock stands still.
  *
- * Holds: an order follows another VM's last one no sooner than an engine's time, with a higher fence; the fence never goes
- * back.
- * -DNO_WAIT lets a VM claim without waiting: two VMs give orders by turns.
+ * Properties: an order follows the last order of another VM no sooner than LEASE and with a higher fence; the fence
+ * never goes back.
+ *
+ * Each of these removes one guard:
+ * -DNO_WAIT lets a VM claim without waiting: two VMs alternate in issuing orders.
  * -DNO_CONDITION lets the store append at any end: two VMs claim after the same record.
- * -DNO_PAUSE leaves a suspension unnoticed: a VM gives orders under a lease that ran out.
- * -DNO_VOID takes the answer to a claim that was sent before a suspension: its time does not count.
- * -DNO_ASKED counts holding from the answer: it outlasts what the others wait for.
+ * -DNO_PAUSE ignores suspensions: a VM issues orders under an expired lease.
+ * -DNO_VOID accepts the answer to a claim sent before a suspension: the time of the suspension is not counted.
+ * -DNO_ASKED measures the lease from the answer: it lasts longer than the other VMs wait.
  */
 #define HOLD 2
 #define LEASE 1
@@ -27,20 +29,20 @@
 byte logHolder[MAX_LOG];
 
 byte lost[2];                /* time that each VM's clock has stood still */
-bool unnoticed[2];           /* suspended since it last looked */
-byte pausedAt[2];            /* own clock + 1 of the last suspension noticed */
+bool unnoticed[2];           /* suspended since the last check for a suspension */
+byte pausedAt[2];            /* own clock + 1 at the last detected suspension */
 
 byte end[2] = NONE;          /* NONE: not known */
 byte tail[2] = NONE;         /* offset of the last record known */
 byte tailHolder[2];
-byte since[2];               /* known to lie there since, on the VM's own clock */
-byte confirmed[2];           /* own clock + 1 of the claim's sending; 0: not held */
+byte since[2];               /* own clock since which that record is known to be there */
+byte confirmed[2];           /* own clock + 1 when the claim was sent; 0: not held */
 
 bool asking[2];
 byte askedAt[2];
-byte flyingAt[2] = NONE;     /* condition of the append on its way */
-byte landed[2] = NONE;       /* offset at which it landed */
-byte lateAt[2] = NONE;       /* condition of an append whose VM waits no longer */
+byte flyingAt[2] = NONE;     /* condition of the append in transit */
+byte landed[2] = NONE;       /* offset at which it was stored */
+byte lateAt[2] = NONE;       /* condition of an append whose VM no longer waits for it */
 
 byte lastVm = NONE;
 byte lastSent = 0;
@@ -70,7 +72,7 @@
 proctype Vm(byte self) {
     do
     :: now >= MAX_TIME -> break
-    /* The process looks at its clocks before it does anything that old knowledge would make wrong. */
+    /* The process checks its clocks before any action that would be wrong with outdated state. */
     :: atomic {
         unnoticed[self] -> unnoticed[self] = false;
 #ifndef NO_PAUSE
@@ -94,7 +96,7 @@
         flyingAt[self] = end[self];
         landed[self] = NONE
     }
-    /* The second VM's calls are answered at once, which leaves the search small; what is lost and late is the first one's. */
+    /* The second VM's calls are answered at once, to keep the search small; only the first VM's are lost or late. */
     :: atomic { self == 1 && !HELD(self) && end[self] != NONE && MAY_CLAIM(self) ->
         if
         :: AT_END(end[self]) ->
@@ -108,7 +110,7 @@
         :: else -> end[self] = NONE
         fi
     }
-    /* The answer comes. */
+    /* The answer arrives. */
     :: atomic { !unnoticed[self] && asking[self] && landed[self] != NONE ->
         asking[self] = false;
         end[self] = landed[self] + 1;
@@ -125,7 +127,7 @@
         fi;
         landed[self] = NONE
     }
-    /* It is lost, or the append was refused; what is still on its way may land later. */
+    /* The answer is lost, or the append was refused; an append still in transit may be stored later. */
     :: atomic { asking[self] ->
         asking[self] = false;
         end[self] = NONE;
@@ -135,7 +137,7 @@
         :: else -> skip
         fi
     }
-    /* An order; its fence is asked for right before it goes out. */
+    /* Sends an order; its fence is read directly before sending. */
     :: atomic { !unnoticed[self] && HELD(self) && tailHolder[self] == self ->
         assert(lastVm == NONE || tail[self] >= lastFence);
         assert(lastVm == NONE || lastVm == self || (now - lastSent >= LEASE && tail[self] > lastFence));
--- a/spec/relayCounts.pml
+++ b/spec/relayCounts.pml
@@ -1,27 +1,31 @@
 /*
- * A VM learns what others spend from two relays, each of which adds up what it hears from its own start on.
+ * A VM learns the spending of others from two relays. Each relay sums the spending that it has received since its
+ * start.
  *
- * Models `createRelayCounts` of packages/router: one relay is followed; when it falls silent, the other one goes on from
- * what it had told when the first spoke last but one. Spending, hearing and telling come in any order, but that a relay
- * hears within a round of its own what the other one told before that round. The first relay may end.
+ * Models `createRelayCounts` of packages/router: the VM counts the sums of one relay. When that relay falls silent,
+ * the VM continues with the other one, from the sum that the other had sent by the last but one message of the first.
+ * Spending, receiving and sending happen in any order, except that within one of its own rounds a relay receives what
+ * the other had sent before that round. The first relay may end.
  *
- * Holds: once all has been heard and told, no token that was spent is missing, and none counts twice but those that the
- * first relay had told beyond that word of the other one.
- * -DNO_FOLLOW adds up what both relays tell: all counts twice.
- * -DNO_MARK goes on from the other relay's last word: what it told while the first one was silent is missing.
- * -DNO_BEFORE goes on from its word when the first last spoke: what the first had not heard yet is missing.
+ * Property: once everything has been received and sent, no spent token is missing, and the only tokens counted twice
+ * are those that the first relay had sent in excess of that sum of the other one.
+ *
+ * Each of these removes one guard:
+ * -DNO_FOLLOW counts the sums of both relays, so all tokens count twice.
+ * -DNO_MARK continues from the last sum of the other relay: what it sent while the first one was silent is missing.
+ * -DNO_BEFORE continues from its sum at the last message of the first: what the first had not received yet is missing.
  */
 #define SPENT 3
 
 byte spent = 0;
-byte heard[2];               /* by relay */
-byte told[2];                /* the last word of each relay to the VM */
-byte mark = 0;               /* the second relay's word when the first last spoke, */
-byte before = 0;             /* and the time before that */
+byte heard[2];               /* spending received by each relay */
+byte told[2];                /* last sum sent by each relay to the VM */
+byte mark = 0;               /* sum sent by the second relay at the last message of the first, */
+byte before = 0;             /* and at the message before that */
 byte followed = 0;
 bool hasEnded = false;
-byte reckoned = 0;
-byte untold = 0;             /* what the first relay had told beyond that */
+byte reckoned = 0;           /* spending counted by the VM */
+byte untold = 0;             /* what the first relay had sent in excess of `before` */
 
 active proctype Callers() {
     do
--- a/spec/relayRead.pml
+++ b/spec/relayRead.pml
@@ -1,15 +1,18 @@
 /*
- * A VM asks a relay of its failure domain for the declarations, in place of the store, and serves a key on the answer.
+ * A VM queries a relay of its failure domain for the declarations, instead of the store, and serves a key by the
+ * answer.
  *
- * Models `followTopic` (what a relay gives is as old as it says, reckoned from when it was asked) and `answer` of
- * `startKnowledge` (a relay looks for a suspension before it answers, and answers nothing then) of packages/router. Revision
- * 2 withdraws the key. Discrete time; questions and answers that lie on the way; a relay that is suspended, whose clock
- * stands still meanwhile.
+ * Models `followTopic` (the age of an answer is the age that the relay states, measured from when the query was sent)
+ * and `answer` of `startKnowledge` (a relay checks for a suspension before it answers, and after one gives no answer)
+ * of packages/router. Revision 2 withdraws the key. Time is discrete; queries and answers may be delayed; the relay
+ * may be suspended, and its clock stands still meanwhile.
  *
- * Holds: the withdrawn key is not served later than KEYS after the withdrawal.
- * -DNO_ASKED reckons the age from when the answer came: what lay on the way counts as fresh.
- * -DNO_AGE leaves out the age that the relay gave: its own knowledge may be as old.
- * -DNO_PAUSE answers without a look for a suspension: the relay's age leaves out its time.
+ * Property: the withdrawn key is not served later than KEYS after the withdrawal.
+ *
+ * Each of these removes one guard:
+ * -DNO_ASKED measures the age from the arrival of the answer, so a delayed answer counts as fresh.
+ * -DNO_AGE ignores the age that the relay states, though the relay's own state may be that old.
+ * -DNO_PAUSE answers without checking for a suspension, so the relay's age omits the time of the suspension.
  */
 #define KEYS 2
 #define MAX_TIME 8
@@ -20,13 +23,13 @@
 byte newest = 1;
 byte withdrawnAt = 0;
 
-/* The relay: how much time its clock has lost, and what it knows as of which moment on that clock. */
+/* The relay: the time that its clock has lost, the revision that it knows, and when by that clock it was current. */
 byte lost = 0;
 bool isUnnoticed = false;
 byte known = 0;
 byte knownAt = NEVER;
 
-/* The VM: when it asked, what came back, and what it knows as of when. */
+/* The VM: when it sent the query, the answer, and the revision that it knows with the time when it was current. */
 bool isAsking = false;
 bool isAnswered = false;
 byte askedAt;
