--- a/spec/allowance.pml
+++ b/spec/allowance.pml
@@ -220,7 +220,7 @@
 }
 
 /* Starts a home empty, after a wait: a new process on the first VM, or the second VM after the first was dropped. */
-inline startAnew(vm) {
+inline startHome(vm) {
     process[vm]++;
     serving[vm] = false;
     balance[vm] = 0;
@@ -299,8 +299,8 @@
         fi;
         h = 0; j = 0
     }
-    :: atomic { !hadFault -> hadFault = true; startAnew(0) }
-    :: atomic { !hadFault -> hadFault = true; serving[0] = false; balance[0] = 0; startAnew(1) }
+    :: atomic { !hadFault -> hadFault = true; startHome(0) }
+    :: atomic { !hadFault -> hadFault = true; serving[0] = false; balance[0] = 0; startHome(1) }
     :: atomic {
         !hadFault && serving[0] ->
         hadFault = true;
@@ -320,7 +320,7 @@
             balance[1] = handedBalance;
             lapsing[1] = handedOutstanding;
             lapsesAt[1] = now + KEEP
-        :: startAnew(1)     /* the hand-over is lost; asked again, the former home confirms nothing */
+        :: startHome(1)     /* the hand-over is lost; asked again, the former home confirms nothing */
         fi;
         handedBalance = 0;
         handedOutstanding = 0
--- a/spec/keyFreshness.pml
+++ b/spec/keyFreshness.pml
@@ -31,7 +31,7 @@
 byte lost[2];
 bool unnoticed[2];
 byte revision[2];
-byte pausedAt[2];            /* own clock at the last detected suspension; 0: none */
+byte suspendedAt[2];         /* own clock at the last detected suspension; 0: none */
 byte confirmed[2];           /* own clock as of which the revision was newest; NEVER: unconfirmed */
 
 #define CLOCK(vm) (now - lost[vm])
@@ -39,7 +39,7 @@
 /* One read of each VM: when it was sent by the VM's own clock, and the store's answer (0: not yet). */
 bool reading[2];
 byte readSent[2];
-byte readSaid[2];
+byte readAnswer[2];
 
 /* The newest timestamp of each VM that the other has received: the VM's own clock, and when it was received. */
 byte stamp[2];
@@ -47,15 +47,15 @@
 
 /* One beacon to each VM, in its buffer: the revision, the age of its confirmation, the receiver's echoed timestamp, and
  * how long the sender had kept that timestamp. */
-byte told[2];
-byte toldAge[2];
-byte toldStamp[2];
-byte toldHeld[2];
+byte beaconRevision[2];
+byte beaconAge[2];
+byte beaconStamp[2];
+byte beaconStampHeld[2];
 
 #ifdef NO_VOID
 #define IS_VOID(vm, sent) false
 #else
-#define IS_VOID(vm, sent) (sent <= pausedAt[vm])
+#define IS_VOID(vm, sent) (sent <= suspendedAt[vm])
 #endif
 
 #ifdef NO_LATER
@@ -92,60 +92,60 @@
         unnoticed[self] -> unnoticed[self] = false;
 #ifndef NO_PAUSE
         confirmed[self] = NEVER;
-        pausedAt[self] = CLOCK(self)
+        suspendedAt[self] = CLOCK(self)
 #endif
     }
-    :: atomic { self == 0 && !unnoticed[self] && !reading[self] -> reading[self] = true; readSent[self] = CLOCK(self); readSaid[self] = 0 }
+    :: atomic { self == 0 && !unnoticed[self] && !reading[self] -> reading[self] = true; readSent[self] = CLOCK(self); readAnswer[self] = 0 }
     /* Reads of the second VM are answered at once, to keep the search small; only reads of the first are late. */
     :: atomic { self == 1 && (revision[self] != newest || confirmed[self] != CLOCK(self)) ->
         revision[self] = newest;
         confirmed[self] = CLOCK(self)
     }
-    :: atomic { reading[self] && readSaid[self] == 0 -> readSaid[self] = newest }
-    :: atomic { !unnoticed[self] && reading[self] && readSaid[self] != 0 ->
-        adopt(self, readSaid[self]);
+    :: atomic { reading[self] && readAnswer[self] == 0 -> readAnswer[self] = newest }
+    :: atomic { !unnoticed[self] && reading[self] && readAnswer[self] != 0 ->
+        adopt(self, readAnswer[self]);
         if
         :: IS_VOID(self, readSent[self]) -> skip
 #ifdef NO_ASKED
-        :: else -> confirm(self, readSaid[self], CLOCK(self))
+        :: else -> confirm(self, readAnswer[self], CLOCK(self))
 #else
-        :: else -> confirm(self, readSaid[self], readSent[self])
+        :: else -> confirm(self, readAnswer[self], readSent[self])
 #endif
         fi;
         reading[self] = false;
         readSent[self] = 0;
-        readSaid[self] = 0
+        readAnswer[self] = 0
     }
     :: atomic { self == 0 && !unnoticed[self] && stamp[self] != CLOCK(self) -> stamp[self] = CLOCK(self); stampAt[self] = now }
     /* The other VM sends its revision. */
-    :: atomic { self == 0 && !unnoticed[other] && told[self] == 0 && stamp[self] != 0 && confirmed[other] != NEVER ->
-        told[self] = revision[other];
-        toldAge[self] = CLOCK(other) - confirmed[other];
-        toldStamp[self] = stamp[self];
-        toldHeld[self] = now - stampAt[self]
+    :: atomic { self == 0 && !unnoticed[other] && beaconRevision[self] == 0 && stamp[self] != 0 && confirmed[other] != NEVER ->
+        beaconRevision[self] = revision[other];
+        beaconAge[self] = CLOCK(other) - confirmed[other];
+        beaconStamp[self] = stamp[self];
+        beaconStampHeld[self] = now - stampAt[self]
     }
-    :: atomic { !unnoticed[self] && told[self] != 0 ->
-        adopt(self, told[self]);
+    :: atomic { !unnoticed[self] && beaconRevision[self] != 0 ->
+        adopt(self, beaconRevision[self]);
 #ifdef NO_AGE
-        toldAge[self] = 0;
+        beaconAge[self] = 0;
 #endif
 #ifdef NO_ECHO
-        toldStamp[self] = CLOCK(self);
-        toldHeld[self] = 0;
+        beaconStamp[self] = CLOCK(self);
+        beaconStampHeld[self] = 0;
 #endif
         if
-        :: IS_VOID(self, toldStamp[self]) -> skip
+        :: IS_VOID(self, beaconStamp[self]) -> skip
         :: else ->
             if
-            :: toldStamp[self] + toldHeld[self] > toldAge[self] ->
-                confirm(self, told[self], toldStamp[self] + toldHeld[self] - toldAge[self])
+            :: beaconStamp[self] + beaconStampHeld[self] > beaconAge[self] ->
+                confirm(self, beaconRevision[self], beaconStamp[self] + beaconStampHeld[self] - beaconAge[self])
             :: else -> skip
             fi
         fi;
-        told[self] = 0;
-        toldAge[self] = 0;
-        toldStamp[self] = 0;
-        toldHeld[self] = 0
+        beaconRevision[self] = 0;
+        beaconAge[self] = 0;
+        beaconStamp[self] = 0;
+        beaconStampHeld[self] = 0
     }
     /* A request with the key is served only if the revision was confirmed recently. */
     :: atomic { !unnoticed[self] && revision[self] == 1 && confirmed[self] != NEVER && CLOCK(self) - confirmed[self] <= KEYS ->
--- a/spec/lateOrders.pml
+++ b/spec/lateOrders.pml
@@ -11,9 +11,9 @@
  */
 #define VERSIONS 3
 #define LATE 2
-#define MOST_ORDERS 8            /* upper bound on the orders accepted in any run */
+#define MAX_ORDERS 8            /* upper bound on the orders accepted in any run */
 
-byte named = 1;
+byte target = 1;
 byte version = 0;
 byte count = 0;              /* orders that the engine has accepted */
 byte loading = 0;            /* version that it is loading; 0: none */
@@ -29,7 +29,7 @@
 
 inline accept(wanted, expect) {
     if
-    :: loading == 0 && EXPECTED(expect) -> loading = wanted; count = (count + 1) % MOST_ORDERS
+    :: loading == 0 && EXPECTED(expect) -> loading = wanted; count = (count + 1) % MAX_ORDERS
     :: else -> skip
     fi
 }
@@ -40,11 +40,11 @@
     do
     :: atomic { seenVersion = version; seenCount = count }
     :: atomic {
-        named > seenVersion ->
+        target > seenVersion ->
         if
-        :: accept(named, seenCount)
-        :: lateVersion[0] == 0 -> lateVersion[0] = named; lateExpect[0] = seenCount
-        :: lateVersion[1] == 0 -> lateVersion[1] = named; lateExpect[1] = seenCount
+        :: accept(target, seenCount)
+        :: lateVersion[0] == 0 -> lateVersion[0] = target; lateExpect[0] = seenCount
+        :: lateVersion[1] == 0 -> lateVersion[1] = target; lateExpect[1] = seenCount
         fi
     }
     :: version == VERSIONS -> break
@@ -62,7 +62,7 @@
 
 active proctype Operators() {
     do
-    :: named < VERSIONS -> named++
+    :: target < VERSIONS -> target++
     :: else -> break
     od
 }
--- a/spec/lease.pml
+++ b/spec/lease.pml
@@ -28,11 +28,11 @@
 byte logFencing[MAX_LOG];    /* offset + 1 of the claim */
 
 /* The append of each daemon: in transit, or stored at an offset. */
-bool flying[2];
-bool flyingIsClaim[2];
-byte flyingAfter[2];
-byte flyingFencing[2];
-byte landedAt[2] = NONE;
+bool inTransit[2];
+bool inTransitIsClaim[2];
+byte inTransitAfter[2];
+byte inTransitFencing[2];
+byte storedAt[2] = NONE;
 
 byte heldUntil[2];           /* 0: not held */
 byte engineFencing = 0;
@@ -47,26 +47,26 @@
 #ifdef NO_WAIT
 #define FORMER_IS_OVER true
 #else
-#define FORMER_IS_OVER (now >= quietSince + TTL + 1)
+#define FORMER_IS_OVER (now >= lastRecordAt + TTL + 1)
 #endif
 
-inline ask(claim, fencing) {
-    askedAt = now;
-    asked = true;
-    flying[self] = true;
-    flyingIsClaim[self] = claim;
-    flyingAfter[self] = next;
-    flyingFencing[self] = fencing;
-    landedAt[self] = NONE
+inline request(claim, fencing) {
+    requestedAt = now;
+    isRequested = true;
+    inTransit[self] = true;
+    inTransitIsClaim[self] = claim;
+    inTransitAfter[self] = next;
+    inTransitFencing[self] = fencing;
+    storedAt[self] = NONE
 }
 
 proctype Daemon(byte self) {
     byte next = 0;
     byte holder = NONE;
     byte holderFencing = 0;
-    byte quietSince = 0;
-    byte askedAt = 0;
-    bool asked = false;
+    byte lastRecordAt = 0;
+    byte requestedAt = 0;
+    bool isRequested = false;
     byte sentFencing = 0;
     do
     :: now >= MAX_TIME -> break
@@ -76,23 +76,23 @@
         :: RIGHT_BEHIND(next) && (logIsClaim[next] || holder == NONE || logFencing[next] == holderFencing) ->
             holder = logWriter[next];
             holderFencing = logFencing[next];
-            quietSince = now;
+            lastRecordAt = now;
             if
-            :: holder == self && asked && landedAt[self] == next -> heldUntil[self] = askedAt + TTL
+            :: holder == self && isRequested && storedAt[self] == next -> heldUntil[self] = requestedAt + TTL
             :: holder != self -> heldUntil[self] = 0
             :: else -> skip
             fi
         :: else -> skip
         fi;
         if
-        :: asked && landedAt[self] == next -> asked = false
+        :: isRequested && storedAt[self] == next -> isRequested = false
         :: else -> skip
         fi;
         next++
     }
-    :: atomic { asked && !flying[self] && landedAt[self] == NONE -> asked = false }
-    :: atomic { !asked && heldUntil[self] <= now && FORMER_IS_OVER -> ask(true, 0) }
-    :: atomic { !asked && heldUntil[self] > now && holder == self -> ask(false, holderFencing) }
+    :: atomic { isRequested && !inTransit[self] && storedAt[self] == NONE -> isRequested = false }
+    :: atomic { !isRequested && heldUntil[self] <= now && FORMER_IS_OVER -> request(true, 0) }
+    :: atomic { !isRequested && heldUntil[self] > now && holder == self -> request(false, holderFencing) }
     :: atomic { heldUntil[self] > now && holder == self -> sentFencing = holderFencing };
         /* The process may be suspended here, with its order in transit. */
         atomic {
@@ -117,19 +117,19 @@
     do
     :: now >= MAX_TIME -> break
     :: atomic {
-        flying[0] || flying[1] ->
+        inTransit[0] || inTransit[1] ->
         if
-        :: flying[0] -> who = 0
-        :: flying[1] -> who = 1
+        :: inTransit[0] -> who = 0
+        :: inTransit[1] -> who = 1
         fi;
-        flying[who] = false;
+        inTransit[who] = false;
         if
         :: logLength < MAX_LOG ->
             logWriter[logLength] = who;
-            logAfter[logLength] = flyingAfter[who];
-            logIsClaim[logLength] = flyingIsClaim[who];
-            logFencing[logLength] = (flyingIsClaim[who] -> logLength + 1 : flyingFencing[who]);
-            landedAt[who] = logLength;
+            logAfter[logLength] = inTransitAfter[who];
+            logIsClaim[logLength] = inTransitIsClaim[who];
+            logFencing[logLength] = (inTransitIsClaim[who] -> logLength + 1 : inTransitFencing[who]);
+            storedAt[who] = logLength;
             logLength++
         :: skip
         fi;
--- a/spec/orderLease.pml
+++ b/spec/orderLease.pml
@@ -30,7 +30,7 @@
 
 byte lost[2];                /* time that each VM's clock has stood still */
 bool unnoticed[2];           /* suspended since the last check for a suspension */
-byte pausedAt[2];            /* own clock + 1 at the last detected suspension */
+byte suspendedAt[2];         /* own clock + 1 at the last detected suspension */
 
 byte end[2] = NONE;          /* NONE: not known */
 byte tail[2] = NONE;         /* offset of the last record known */
@@ -40,8 +40,8 @@
 
 bool asking[2];
 byte askedAt[2];
-byte flyingAt[2] = NONE;     /* condition of the append in transit */
-byte landed[2] = NONE;       /* offset at which it was stored */
+byte inTransitAt[2] = NONE;  /* condition of the append in transit */
+byte storedAt[2] = NONE;     /* offset at which it was stored */
 byte lateAt[2] = NONE;       /* condition of an append whose VM no longer waits for it */
 
 byte lastVm = NONE;
@@ -54,7 +54,7 @@
 #ifdef NO_VOID
 #define IS_VOID(vm) false
 #else
-#define IS_VOID(vm) (askedAt[vm] + 1 <= pausedAt[vm])
+#define IS_VOID(vm) (askedAt[vm] + 1 <= suspendedAt[vm])
 #endif
 
 #ifdef NO_WAIT
@@ -77,7 +77,7 @@
         unnoticed[self] -> unnoticed[self] = false;
 #ifndef NO_PAUSE
         confirmed[self] = 0;
-        pausedAt[self] = CLOCK(self) + 1
+        suspendedAt[self] = CLOCK(self) + 1
 #endif
     }
     :: atomic { !unnoticed[self] && !asking[self] && !HELD(self) && end[self] == NONE ->
@@ -93,8 +93,8 @@
     :: atomic { self == 0 && !unnoticed[self] && !asking[self] && !HELD(self) && end[self] != NONE && MAY_CLAIM(self) ->
         asking[self] = true;
         askedAt[self] = CLOCK(self);
-        flyingAt[self] = end[self];
-        landed[self] = NONE
+        inTransitAt[self] = end[self];
+        storedAt[self] = NONE
     }
     /* The second VM's calls are answered at once, to keep the search small; only the first VM's are lost or late. */
     :: atomic { self == 1 && !HELD(self) && end[self] != NONE && MAY_CLAIM(self) ->
@@ -111,10 +111,10 @@
         fi
     }
     /* The answer arrives. */
-    :: atomic { !unnoticed[self] && asking[self] && landed[self] != NONE ->
+    :: atomic { !unnoticed[self] && asking[self] && storedAt[self] != NONE ->
         asking[self] = false;
-        end[self] = landed[self] + 1;
-        tail[self] = landed[self];
+        end[self] = storedAt[self] + 1;
+        tail[self] = storedAt[self];
         tailHolder[self] = self;
         since[self] = askedAt[self];
         if
@@ -125,15 +125,15 @@
         :: else -> confirmed[self] = askedAt[self] + 1
 #endif
         fi;
-        landed[self] = NONE
+        storedAt[self] = NONE
     }
     /* The answer is lost, or the append was refused; an append still in transit may be stored later. */
     :: atomic { asking[self] ->
         asking[self] = false;
         end[self] = NONE;
-        landed[self] = NONE;
+        storedAt[self] = NONE;
         if
-        :: flyingAt[self] != NONE -> lateAt[self] = flyingAt[self]; flyingAt[self] = NONE
+        :: inTransitAt[self] != NONE -> lateAt[self] = inTransitAt[self]; inTransitAt[self] = NONE
         :: else -> skip
         fi
     }
@@ -153,16 +153,16 @@
     do
     :: now >= MAX_TIME -> break
     :: atomic {
-        flyingAt[0] != NONE || flyingAt[1] != NONE ->
+        inTransitAt[0] != NONE || inTransitAt[1] != NONE ->
         if
-        :: flyingAt[0] != NONE -> who = 0
-        :: flyingAt[1] != NONE -> who = 1
+        :: inTransitAt[0] != NONE -> who = 0
+        :: inTransitAt[1] != NONE -> who = 1
         fi;
         if
-        :: AT_END(flyingAt[who]) -> logHolder[logLength] = who; landed[who] = logLength; logLength++
+        :: AT_END(inTransitAt[who]) -> logHolder[logLength] = who; storedAt[who] = logLength; logLength++
         :: else -> skip
         fi;
-        flyingAt[who] = NONE;
+        inTransitAt[who] = NONE;
         who = 0
     }
     :: atomic {
--- a/spec/relayCounts.pml
+++ b/spec/relayCounts.pml
@@ -18,14 +18,14 @@
 #define SPENT 3
 
 byte spent = 0;
-byte heard[2];               /* spending received by each relay */
-byte told[2];                /* last sum sent by each relay to the VM */
+byte received[2];            /* spending received by each relay */
+byte sent[2];                /* last sum sent by each relay to the VM */
 byte mark = 0;               /* sum sent by the second relay at the last message of the first, */
 byte before = 0;             /* and at the message before that */
 byte followed = 0;
 bool hasEnded = false;
-byte reckoned = 0;           /* spending counted by the VM */
-byte untold = 0;             /* what the first relay had sent in excess of `before` */
+byte counted = 0;            /* spending counted by the VM */
+byte excess = 0;             /* what the first relay had sent in excess of `before` */
 
 active proctype Callers() {
     do
@@ -34,51 +34,51 @@
     od
 }
 
-active [2] proctype Hear() {
+active [2] proctype Receive() {
     do
-    :: atomic { !(hasEnded && _pid == 1) && heard[_pid - 1] < spent -> heard[_pid - 1] = spent }
-    :: spent == SPENT && (heard[_pid - 1] == SPENT || (hasEnded && _pid == 1)) -> break
+    :: atomic { !(hasEnded && _pid == 1) && received[_pid - 1] < spent -> received[_pid - 1] = spent }
+    :: spent == SPENT && (received[_pid - 1] == SPENT || (hasEnded && _pid == 1)) -> break
     od
 }
 
-inline tell(relay) {
+inline sendSum(relay) {
 #ifdef NO_FOLLOW
-    reckoned = reckoned + heard[relay] - told[relay];
-    told[relay] = heard[relay]
+    counted = counted + received[relay] - sent[relay];
+    sent[relay] = received[relay]
 #else
     if
     :: followed == relay ->
-        reckoned = reckoned + heard[relay] - told[relay];
-        told[relay] = heard[relay];
+        counted = counted + received[relay] - sent[relay];
+        sent[relay] = received[relay];
         if
-        :: relay == 0 -> before = mark; mark = told[1]; untold = told[0] - before
+        :: relay == 0 -> before = mark; mark = sent[1]; excess = sent[0] - before
         :: else -> skip
         fi
     :: followed != relay && hasEnded ->
 #ifdef NO_MARK
-        reckoned = reckoned + heard[relay] - told[relay];
+        counted = counted + received[relay] - sent[relay];
 #else
 #ifdef NO_BEFORE
         before = mark;
 #endif
-        reckoned = reckoned + heard[relay] - before;
+        counted = counted + received[relay] - before;
 #endif
-        told[relay] = heard[relay];
+        sent[relay] = received[relay];
         followed = relay
-    :: else -> told[relay] = heard[relay]
+    :: else -> sent[relay] = received[relay]
     fi
 #endif
 }
 
-active proctype Tell() {
+active proctype Send() {
     do
-    :: atomic { !hasEnded && told[0] != heard[0] && heard[0] >= mark -> tell(0) }
-    :: atomic { told[1] != heard[1] -> tell(1) }
-    :: atomic { hasEnded && followed == 0 -> tell(1) }
+    :: atomic { !hasEnded && sent[0] != received[0] && received[0] >= mark -> sendSum(0) }
+    :: atomic { sent[1] != received[1] -> sendSum(1) }
+    :: atomic { hasEnded && followed == 0 -> sendSum(1) }
     :: atomic { !hasEnded -> hasEnded = true }
-    :: atomic { spent == SPENT && heard[1] == SPENT && told[1] == SPENT && (followed == 1 || (!hasEnded && told[0] == SPENT)) ->
-        assert(reckoned >= SPENT);
-        assert(reckoned <= SPENT + untold);
+    :: atomic { spent == SPENT && received[1] == SPENT && sent[1] == SPENT && (followed == 1 || (!hasEnded && sent[0] == SPENT)) ->
+        assert(counted >= SPENT);
+        assert(counted <= SPENT + excess);
         break
     }
     od
--- a/spec/relayRead.pml
+++ b/spec/relayRead.pml
@@ -32,9 +32,9 @@
 /* The VM: when it sent the query, the answer, and the revision that it knows with the time when it was current. */
 bool isAsking = false;
 bool isAnswered = false;
-byte askedAt;
-byte saidRevision;
-byte saidAge;
+byte requestedAt;
+byte answerRevision;
+byte answerAge;
 byte revision = 0;
 byte asOf = NEVER;
 
@@ -55,8 +55,8 @@
         if
         :: knownAt == NEVER -> isAsking = false
         :: else ->
-            saidRevision = known;
-            saidAge = CLOCK - knownAt;
+            answerRevision = known;
+            answerAge = CLOCK - knownAt;
             isAnswered = true
         fi
     }
@@ -66,16 +66,16 @@
 active proctype Vm() {
     do
     :: now >= MAX_TIME -> break
-    :: atomic { !isAsking -> isAsking = true; isAnswered = false; askedAt = now }
+    :: atomic { !isAsking -> isAsking = true; isAnswered = false; requestedAt = now }
     :: atomic { isAsking && isAnswered ->
 #ifdef NO_AGE
-        saidAge = 0;
+        answerAge = 0;
 #endif
 #ifdef NO_ASKED
-        askedAt = now;
+        requestedAt = now;
 #endif
         if
-        :: saidRevision >= revision && askedAt >= saidAge -> revision = saidRevision; asOf = askedAt - saidAge
+        :: answerRevision >= revision && requestedAt >= answerAge -> revision = answerRevision; asOf = requestedAt - answerAge
         :: else -> skip
         fi;
         isAsking = false;
