--- a/spec/lease.pml
+++ b/spec/lease.pml
@@ -1,15 +1,19 @@
 /*
- * The order lease of a failure domain, agreed through the log alone, and an engine that takes orders.
+ * The order lease of a failure domain, agreed on through the log alone, and an engine that executes orders.
  *
- * Models `stepLease` (records count only right behind the last one their writer knew; claims wait for the lease's whole
- * time; holding counts from when it was asked for) and `mayOrder` of packages/fleet, and the engine's check of fencing
- * numbers. Two daemons, discrete time, reads and appends of any lateness, lost appends, pauses anywhere: a process that
- * is not scheduled is a process that is paused.
+ * Models `stepLease` (a record is valid only directly after the last record that its writer knew; a claim waits for
+ * the full lease time; the lease is measured from when it was requested) and `mayOrder` of packages/fleet, and the
+ * engine's check of fencing numbers. Two daemons, discrete time, reads and appends with any delay, lost appends,
+ * suspensions at any point: a process that is not scheduled is suspended.
  *
- * Holds: never two holders; an engine that checks never executes an order of an older lease after a newer one's.
- * -DNO_AFTER takes the comparison of offsets away: two daemons hold the lease at once.
- * -DNO_WAIT lets a daemon claim without waiting for the former holder's time: two daemons hold the lease at once.
- * -DNO_FENCING takes the engine's check away: an order sent before a pause is executed after a newer holder's.
+ * Properties: there are never two holders; an engine that checks fencing numbers never executes an order of an older
+ * lease after one of a newer lease.
+ *
+ * Each of these removes one guard:
+ * -DNO_AFTER removes the comparison of offsets: two daemons hold the lease at once.
+ * -DNO_WAIT lets a daemon claim without waiting until the former holder's lease has expired: two daemons hold it at
+ * once.
+ * -DNO_FENCING removes the engine's check: an order sent before a suspension is executed after one of a newer holder.
  */
 #define TTL 2
 #define MAX_TIME 7
@@ -19,16 +23,16 @@
 byte now = 0;
 byte logLength = 0;
 byte logWriter[MAX_LOG];
-byte logAfter[MAX_LOG];      /* 0: before the first record, else offset + 1 of the last one known */
+byte logAfter[MAX_LOG];      /* offset + 1 of the last record known to the writer; 0: none */
 bool logIsClaim[MAX_LOG];
 byte logFencing[MAX_LOG];    /* offset + 1 of the claim */
 
-/* The append of each daemon that is on its way, or has landed at an offset. */
-bool flying[2];
-bool flyingIsClaim[2];
-byte flyingAfter[2];
-byte flyingFencing[2];
-byte landedAt[2] = NONE;
+/* The append of each daemon: in transit, or stored at an offset. */
+bool inTransit[2];
+bool inTransitIsClaim[2];
+byte inTransitAfter[2];
+byte inTransitFencing[2];
+byte storedAt[2] = NONE;
 
 byte heldUntil[2];           /* 0: not held */
 byte engineFencing = 0;
@@ -43,26 +47,26 @@
 #ifdef NO_WAIT
 #define FORMER_IS_OVER true
 #else
-#define FORMER_IS_OVER (now >= quietSince + TTL + 1)
+#define FORMER_IS_OVER (now >= lastRecordAt + TTL + 1)
 #endif
 
-inline ask(claim, fencing) {
-    askedAt = now;
-    asked = true;
-    flying[self] = true;
-    flyingIsClaim[self] = claim;
-    flyingAfter[self] = next;
-    flyingFencing[self] = fencing;
-    landedAt[self] = NONE
+inline request(claim, fencing) {
+    requestedAt = now;
+    isRequested = true;
+    inTransit[self] = true;
+    inTransitIsClaim[self] = claim;
+    inTransitAfter[self] = next;
+    inTransitFencing[self] = fencing;
+    storedAt[self] = NONE
 }
 
 proctype Daemon(byte self) {
     byte next = 0;
     byte holder = NONE;
     byte holderFencing = 0;
-    byte quietSince = 0;
-    byte askedAt = 0;
-    bool asked = false;
+    byte lastRecordAt = 0;
+    byte requestedAt = 0;
+    bool isRequested = false;
     byte sentFencing = 0;
     do
     :: now >= MAX_TIME -> break
@@ -72,25 +76,25 @@
         :: RIGHT_BEHIND(next) && (logIsClaim[next] || holder == NONE || logFencing[next] == holderFencing) ->
             holder = logWriter[next];
             holderFencing = logFencing[next];
-            quietSince = now;
+            lastRecordAt = now;
             if
-            :: holder == self && asked && landedAt[self] == next -> heldUntil[self] = askedAt + TTL
+            :: holder == self && isRequested && storedAt[self] == next -> heldUntil[self] = requestedAt + TTL
             :: holder != self -> heldUntil[self] = 0
             :: else -> skip
             fi
         :: else -> skip
         fi;
         if
-        :: asked && landedAt[self] == next -> asked = false
+        :: isRequested && storedAt[self] == next -> isRequested = false
         :: else -> skip
         fi;
         next++
     }
-    :: atomic { asked && !flying[self] && landedAt[self] == NONE -> asked = false }
-    :: atomic { !asked && heldUntil[self] <= now && FORMER_IS_OVER -> ask(true, 0) }
-    :: atomic { !asked && heldUntil[self] > now && holder == self -> ask(false, holderFencing) }
+    :: atomic { isRequested && !inTransit[self] && storedAt[self] == NONE -> isRequested = false }
+    :: atomic { !isRequested && heldUntil[self] <= now && FORMER_IS_OVER -> request(true, 0) }
+    :: atomic { !isRequested && heldUntil[self] > now && holder == self -> request(false, holderFencing) }
     :: atomic { heldUntil[self] > now && holder == self -> sentFencing = holderFencing };
-        /* The process may be paused here, with its order on the way. */
+        /* The process may be suspended here, with its order in transit. */
         atomic {
 #ifndef NO_FENCING
             if
@@ -107,25 +111,25 @@
     od
 }
 
-/* Lands each append at any later time, or loses it. */
+/* Stores each append at any later time, or loses it. */
 active proctype Network() {
     byte who = 0;
     do
     :: now >= MAX_TIME -> break
     :: atomic {
-        flying[0] || flying[1] ->
+        inTransit[0] || inTransit[1] ->
         if
-        :: flying[0] -> who = 0
-        :: flying[1] -> who = 1
+        :: inTransit[0] -> who = 0
+        :: inTransit[1] -> who = 1
         fi;
-        flying[who] = false;
+        inTransit[who] = false;
         if
         :: logLength < MAX_LOG ->
             logWriter[logLength] = who;
-            logAfter[logLength] = flyingAfter[who];
-            logIsClaim[logLength] = flyingIsClaim[who];
-            logFencing[logLength] = (flyingIsClaim[who] -> logLength + 1 : flyingFencing[who]);
-            landedAt[who] = logLength;
+            logAfter[logLength] = inTransitAfter[who];
+            logIsClaim[logLength] = inTransitIsClaim[who];
+            logFencing[logLength] = (inTransitIsClaim[who] -> logLength + 1 : inTransitFencing[who]);
+            storedAt[who] = logLength;
             logLength++
         :: skip
         fi;
--- a/spec/relayCounts.pml
+++ b/spec/relayCounts.pml
@@ -1,27 +1,31 @@
 /*
- * A VM learns what others spend from two relays, each of which adds up what it hears from its own start on.
+ * A VM learns the spending of others from two relays. Each relay sums the spending that it has received since its
+ * start.
  *
- * Models `createRelayCounters` of packages/router: one relay is followed; when it falls silent, the other one goes on from
- * what it had told when the first spoke last but one. Spending, hearing and telling come in any order, but that a relay
- * hears within a round of its own what the other one told before that round. The first relay may end.
+ * Models `createRelayCounters` of packages/router: the VM counts the sums of one relay. When that relay falls silent,
+ * the VM continues with the other one, from the sum that the other had sent by the last but one message of the first.
+ * Spending, receiving and sending happen in any order, except that within one of its own rounds a relay receives what
+ * the other had sent before that round. The first relay may end.
  *
- * Holds: once all has been heard and told, no token that was spent is missing, and none counts twice but those that the
- * first relay had told beyond that word of the other one.
- * -DNO_FOLLOW adds up what both relays tell: all counts twice.
- * -DNO_MARK goes on from the other relay's last word: what it told while the first one was silent is missing.
- * -DNO_BEFORE goes on from its word when the first last spoke: what the first had not heard yet is missing.
+ * Property: once everything has been received and sent, no spent token is missing, and the only tokens counted twice
+ * are those that the first relay had sent in excess of that sum of the other one.
+ *
+ * Each of these removes one guard:
+ * -DNO_FOLLOW counts the sums of both relays, so all tokens count twice.
+ * -DNO_MARK continues from the last sum of the other relay: what it sent while the first one was silent is missing.
+ * -DNO_BEFORE continues from its sum at the last message of the first: what the first had not received yet is missing.
  */
 #define SPENT 3
 
 byte spent = 0;
-byte heard[2];               /* by relay */
-byte told[2];                /* the last word of each relay to the VM */
-byte mark = 0;               /* the second relay's word when the first last spoke, */
-byte before = 0;             /* and the time before that */
+byte received[2];            /* spending received by each relay */
+byte sent[2];                /* last sum sent by each relay to the VM */
+byte mark = 0;               /* sum sent by the second relay at the last message of the first, */
+byte before = 0;             /* and at the message before that */
 byte followed = 0;
 bool hasEnded = false;
-byte reckoned = 0;
-byte untold = 0;             /* what the first relay had told beyond that */
+byte counted = 0;            /* spending counted by the VM */
+byte excess = 0;             /* what the first relay had sent in excess of `before` */
 
 active proctype Callers() {
     do
@@ -30,51 +34,51 @@
     od
 }
 
-active [2] proctype Hear() {
+active [2] proctype Receive() {
     do
-    :: atomic { !(hasEnded && _pid == 1) && heard[_pid - 1] < spent -> heard[_pid - 1] = spent }
-    :: spent == SPENT && (heard[_pid - 1] == SPENT || (hasEnded && _pid == 1)) -> break
+    :: atomic { !(hasEnded && _pid == 1) && received[_pid - 1] < spent -> received[_pid - 1] = spent }
+    :: spent == SPENT && (received[_pid - 1] == SPENT || (hasEnded && _pid == 1)) -> break
     od
 }
 
-inline tell(relay) {
+inline sendSum(relay) {
 #ifdef NO_FOLLOW
-    reckoned = reckoned + heard[relay] - told[relay];
-    told[relay] = heard[relay]
+    counted = counted + received[relay] - sent[relay];
+    sent[relay] = received[relay]
 #else
     if
     :: followed == relay ->
-        reckoned = reckoned + heard[relay] - told[relay];
-        told[relay] = heard[relay];
+        counted = counted + received[relay] - sent[relay];
+        sent[relay] = received[relay];
         if
-        :: relay == 0 -> before = mark; mark = told[1]; untold = told[0] - before
+        :: relay == 0 -> before = mark; mark = sent[1]; excess = sent[0] - before
         :: else -> skip
         fi
     :: followed != relay && hasEnded ->
 #ifdef NO_MARK
-        reckoned = reckoned + heard[relay] - told[relay];
+        counted = counted + received[relay] - sent[relay];
 #else
 #ifdef NO_BEFORE
         before = mark;
 #endif
-        reckoned = reckoned + heard[relay] - before;
+        counted = counted + received[relay] - before;
 #endif
-        told[relay] = heard[relay];
+        sent[relay] = received[relay];
         followed = relay
-    :: else -> told[relay] = heard[relay]
+    :: else -> sent[relay] = received[relay]
     fi
 #endif
 }
 
-active proctype Tell() {
+active proctype Send() {
     do
-    :: atomic { !hasEnded && told[0] != heard[0] && heard[0] >= mark -> tell(0) }
-    :: atomic { told[1] != heard[1] -> tell(1) }
-    :: atomic { hasEnded && followed == 0 -> tell(1) }
+    :: atomic { !hasEnded && sent[0] != received[0] && received[0] >= mark -> sendSum(0) }
+    :: atomic { sent[1] != received[1] -> sendSum(1) }
+    :: atomic { hasEnded && followed == 0 -> sendSum(1) }
     :: atomic { !hasEnded -> hasEnded = true }
-    :: atomic { spent == SPENT && heard[1] == SPENT && told[1] == SPENT && (followed == 1 || (!hasEnded && told[0] == SPENT)) ->
-        assert(reckoned >= SPENT);
-        assert(reckoned <= SPENT + untold);
+    :: atomic { spent == SPENT && received[1] == SPENT && sent[1] == SPENT && (followed == 1 || (!hasEnded && sent[0] == SPENT)) ->
+        assert(counted >= SPENT);
+        assert(counted <= SPENT + excess);
         break
     }
     od
