--- a/packages/allowance/src/__tests__/fleet/simulateVms.ts
+++ b/packages/allowance/src/__tests__/fleet/simulateVms.ts
@@ -1,6 +1,6 @@
 import { FailureDomain, Incarnation, OrganisationId, VmId } from "@azureshunt/core";
 import type { MembershipEffect, MembershipEvent, MembershipRecord } from "@azureshunt/membership";
-import { homeOf, openMembership, servesFrom, stepMembership, vouchedAge } from "@azureshunt/membership";
+import { confirmedAge, homeOf, openMembership, servesFrom, stepMembership } from "@azureshunt/membership";
 
 import type { AllowanceEffect } from "../../AllowanceEffect.js";
 import type { AllowanceEvent } from "../../AllowanceEvent.js";
@@ -175,7 +175,7 @@
             return;
         }
         const isRepeated = vm.membership.handedTo.includes(run);
-        const ageMs = isRepeated ? -timing.keepMs : vouchedAge(vm.membership, clockOf(vm));
+        const ageMs = isRepeated ? -timing.keepMs : confirmedAge(vm.membership, clockOf(vm));
         apply(vm, placedEvent(vm));
         applyMembership(vm, { kind: "gave", to: run });
         const isTheirs = homeOf(vm.membership.members.values(), ORGANISATION, vm.domain) === asker.vm;
--- a/packages/bench/src/slopes/stateSlopes.ts
+++ b/packages/bench/src/slopes/stateSlopes.ts
@@ -50,7 +50,7 @@
     const perEndpoint = Math.ceil(hashes.length / ENDPOINTS);
     Array.from({ length: ENDPOINTS }, (_, i) => i).forEach(i => {
         const endpoint = EndpointName.parse(`engine-${i}`);
-        index.begin(endpoint, incarnation);
+        index.startIncarnation(endpoint, incarnation);
         index.resync(endpoint, {
             incarnation,
             seq: 0,
--- a/packages/daemon/src/__tests__/unit/intentPort.test.ts
+++ b/packages/daemon/src/__tests__/unit/intentPort.test.ts
@@ -180,7 +180,7 @@
         name: "the owner is suspended for too long before it sends: it may not begin",
         run: async ({ boot, clock }) => {
             const first = await admitToDispatch(boot("vm1"));
-            clock.ms = INTENT_LIMITS.beginMs;
+            clock.ms = INTENT_LIMITS.maxBeginDelayMs;
             return [String(first.begin())];
         },
         expected: ["false"],
--- a/packages/daemon/src/__tests__/unit/placeAdmitted.test.ts
+++ b/packages/daemon/src/__tests__/unit/placeAdmitted.test.ts
@@ -4,7 +4,7 @@
 
 import type { DispatchParts } from "../../dispatch/DispatchParts.js";
 import { placeAdmitted } from "../../dispatch/placeAdmitted.js";
-import type { Admission } from "../../ports/Admission.js";
+import type { AdmissionResult } from "../../ports/AdmissionResult.js";
 import type { Call } from "../../ports/Call.js";
 
 const ENDPOINTS = ["engine-1", "engine-2", "engine-3"].map(name => EndpointName.parse(name));
@@ -12,7 +12,7 @@
 type Case = {
     readonly name: string;
     /** Results of the admission checks, in order. */
-    readonly admissions: readonly Admission[];
+    readonly admissions: readonly AdmissionResult[];
     readonly deadline: number;
     readonly placed: string;
     /** Endpoints that were chosen and then released. */
--- a/packages/daemon/src/__tests__/unit/refuseSuspect.test.ts
+++ b/packages/daemon/src/__tests__/unit/refuseSuspect.test.ts
@@ -1,5 +1,5 @@
 import { EndpointName } from "@azureshunt/core";
-import { fingerprintOf, noSuspects, noteBreak, noteDeath } from "@azureshunt/request";
+import { fingerprintOf, noSuspects, recordBrokenTry, recordDeath } from "@azureshunt/request";
 import type { SuspectState } from "@azureshunt/request";
 import test from "ava";
 
@@ -10,7 +10,7 @@
 const MINUTE_MS = 60 * SECOND_MS;
 
 const died = (state: SuspectState, id: string, at: number, complete: boolean): SuspectState =>
-    noteDeath(state, { death: { id, endpoint: EndpointName.parse("engine"), at, running: [REQUEST] }, complete }, at)
+    recordDeath(state, { death: { id, endpoint: EndpointName.parse("engine"), at, running: [REQUEST] }, complete }, at)
         .state;
 
 const once = died(noSuspects, "d1", 0, true);
@@ -21,7 +21,7 @@
     { name: "one death → not refused", state: once, at: 0, kind: undefined, retryAfterSeconds: undefined },
     {
         name: "a second try broke off → held",
-        state: noteBreak(once, REQUEST, "d2"),
+        state: recordBrokenTry(once, REQUEST, "d2"),
         at: 0,
         kind: "request-quarantined",
         retryAfterSeconds: 2,
--- a/packages/daemon/src/admin/startAdminListener.ts
+++ b/packages/daemon/src/admin/startAdminListener.ts
@@ -11,7 +11,7 @@
 import { sendRefusal } from "../gateway/sendRefusal.js";
 import { serveHealth } from "../gateway/serveHealth.js";
 import { startHttpServer } from "../gateway/startHttpServer.js";
-import type { Stopping } from "../Stopping.js";
+import type { Stoppable } from "../Stoppable.js";
 import type { AdminAnswer } from "./AdminAnswer.js";
 import type { AdminParts } from "./AdminParts.js";
 import { findRoute } from "./findRoute.js";
@@ -30,7 +30,7 @@
  * @returns with the bound port, for settings with port 0, where the system chooses it
  * @throws Error if the address cannot be bound
  */
-export async function startAdminListener(parts: AdminParts): Promise<Stopping & { readonly port: number; }> {
+export async function startAdminListener(parts: AdminParts): Promise<Stoppable & { readonly port: number; }> {
     const { ctx, release } = parts;
     const { settings } = ctx;
     const logger = ctx.logger("admin");
--- a/packages/daemon/src/allowance/createHandOvers.ts
+++ b/packages/daemon/src/allowance/createHandOvers.ts
@@ -1,7 +1,7 @@
 import { setTimeout as delay } from "node:timers/promises";
 
 import type { Incarnation, Millis, VmId } from "@azureshunt/core";
-import { homeOf, vouchedAge } from "@azureshunt/membership";
+import { confirmedAge, homeOf } from "@azureshunt/membership";
 import { z } from "zod";
 
 import type { HomePort } from "../membership/HomePort.js";
@@ -86,7 +86,7 @@
         count(isRepeated ? "given again" : "given");
         return {
             ready: true,
-            ageMs: isRepeated ? -membership.keepMs : vouchedAge(membership, clock.now()),
+            ageMs: isRepeated ? -membership.keepMs : confirmedAge(membership, clock.now()),
             buckets: removeBuckets(from),
         };
     };
@@ -114,7 +114,7 @@
 
     const leave = async (): Promise<void> => {
         const leftAt = clock.now();
-        const ageAtLeaving = vouchedAge(homes.membership(), leftAt);
+        const ageAtLeaving = confirmedAge(homes.membership(), leftAt);
         if (!await homes.leave()) {
             count("not left");
             return;
--- a/packages/daemon/src/configuration/startGossip.ts
+++ b/packages/daemon/src/configuration/startGossip.ts
@@ -2,7 +2,7 @@
 import { snapshotRecord, stateOfSnapshot } from "@azureshunt/release";
 
 import type { DaemonContext } from "../ports/DaemonContext.js";
-import type { Stopping } from "../Stopping.js";
+import type { Stoppable } from "../Stoppable.js";
 import type { GossipMessage } from "./GossipMessage.js";
 import { gossipOf } from "./gossipOf.js";
 import { needsPeers } from "./needsPeers.js";
@@ -40,7 +40,7 @@
  *
  * @returns with `firstRound`, which resolves when the peers queried at the start have answered or timed out
  */
-export function startGossip(parts: GossipParts): Stopping & { readonly firstRound: Promise<void>; } {
+export function startGossip(parts: GossipParts): Stoppable & { readonly firstRound: Promise<void>; } {
     const { ctx, state, apply } = parts;
     const { peers, clock, random, metrics } = ctx;
     const logger = ctx.logger("configuration");
--- a/packages/daemon/src/configuration/startSnapshots.ts
+++ b/packages/daemon/src/configuration/startSnapshots.ts
@@ -5,7 +5,7 @@
 import { snapshotRecord } from "@azureshunt/release";
 
 import type { DaemonContext } from "../ports/DaemonContext.js";
-import type { Stopping } from "../Stopping.js";
+import type { Stoppable } from "../Stoppable.js";
 import { configurationStream } from "./configurationStream.js";
 import { isSnapshotDue } from "./isSnapshotDue.js";
 import type { ReaderState } from "./ReaderState.js";
@@ -19,7 +19,7 @@
  * daemons depends on the offset of the newest snapshot. Each waits for those before it, so usually only one appends. A
  * second copy is harmless.
  */
-export function startSnapshots(ctx: Omit<DaemonContext, "release">, state: () => ReaderState): Stopping {
+export function startSnapshots(ctx: Omit<DaemonContext, "release">, state: () => ReaderState): Stoppable {
     const { clock, log, membership, random, settings } = ctx;
     const startedAt = clock.now();
     const turn: { dueAt: number | undefined; } = { dueAt: undefined };
--- a/packages/daemon/src/fleet/createEngineClient.ts
+++ b/packages/daemon/src/fleet/createEngineClient.ts
@@ -1,6 +1,6 @@
 import { randomUUID } from "node:crypto";
 
-import type { FleetOrder, ObservedEngine } from "@azureshunt/fleet";
+import type { ObservedEngine, WeightsOrder } from "@azureshunt/fleet";
 import type { EndpointSpec } from "@azureshunt/release";
 import { Agent, request } from "undici";
 
@@ -17,7 +17,7 @@
 type EngineClient = {
     /** Returns undefined if the engine did not answer in time. */
     readonly observe: (spec: EndpointSpec) => Promise<ObservedEngine | undefined>;
-    readonly send: (spec: EndpointSpec, order: FleetOrder, fencing: number) => Promise<OrderOutcome>;
+    readonly send: (spec: EndpointSpec, order: WeightsOrder, fencing: number) => Promise<OrderOutcome>;
     readonly stop: () => Promise<void>;
 };
 
--- a/packages/daemon/src/fleet/startFleet.ts
+++ b/packages/daemon/src/fleet/startEngineOrders.ts
@@ -1,10 +1,10 @@
 import type { EndpointName } from "@azureshunt/core";
-import type { FleetOrder, ObservedEngine } from "@azureshunt/fleet";
-import { mayOrder, planOrders } from "@azureshunt/fleet";
+import type { ObservedEngine, WeightsOrder } from "@azureshunt/fleet";
+import { fencingTokenForOrder, planOrders } from "@azureshunt/fleet";
 import type { Configuration, EndpointSpec, ModelSpec } from "@azureshunt/release";
 
 import type { DaemonContext } from "../ports/DaemonContext.js";
-import type { Stopping } from "../Stopping.js";
+import type { Stoppable } from "../Stoppable.js";
 import { createEngineClient } from "./createEngineClient.js";
 import type { createTrafficVersions } from "./createTrafficVersions.js";
 import { createUnloadGuard } from "./createUnloadGuard.js";
@@ -20,7 +20,7 @@
  *
  * @param versionOf returns the weights version of a model for new requests
  */
-export function startFleet(ctx: DaemonContext, versionOf: ReturnType<typeof createTrafficVersions>): Stopping {
+export function startEngineOrders(ctx: DaemonContext, versionOf: ReturnType<typeof createTrafficVersions>): Stoppable {
     const { settings, clock, metrics } = ctx;
     const { leaseMs, orderMs, pollMs, concurrentLoads } = settings.fleet;
     const logger = ctx.logger("fleet");
@@ -31,14 +31,14 @@
     const rounds = { stopped: false };
 
     const fencingFor = (checksFencing: boolean): number | undefined =>
-        mayOrder(lease.state(), clock.now(), checksFencing, orderMs);
+        fencingTokenForOrder(lease.state(), clock.now(), checksFencing, orderMs);
     metrics.gauge(
         "azureshunt_fleet_lease_held",
         "1 while this daemon holds the order lease of its failure domain.",
         () => fencingFor(true) === undefined ? 0 : 1,
     );
 
-    const send = async (spec: EndpointSpec, order: FleetOrder): Promise<void> => {
+    const send = async (spec: EndpointSpec, order: WeightsOrder): Promise<void> => {
         // Checked here and not when the order was planned, as the process may have been suspended in between.
         const fencing = fencingFor(spec.checksFencing);
         if (fencing === undefined) {
--- a/packages/daemon/src/intent/admitIntent.ts
+++ b/packages/daemon/src/intent/admitIntent.ts
@@ -3,8 +3,8 @@
 
 import { RecordId, refusalOf } from "@azureshunt/core";
 import type { ErrorKind, Refusal } from "@azureshunt/core";
-import { digestKey, INTENT_LIMITS, partitionOf, standingOf, verdictOfTaken } from "@azureshunt/intent";
-import type { IntentEntry, IntentOutcome, IntentStanding, KeyDigest, OwnerReply } from "@azureshunt/intent";
+import { decideTakenKey, digestKey, INTENT_LIMITS, keyStatusOf, partitionOf } from "@azureshunt/intent";
+import type { IntentEntry, IntentOutcome, KeyDigest, KeyStatus, OwnerReply } from "@azureshunt/intent";
 import type { Either } from "purify-ts";
 import { Left, Right } from "purify-ts";
 
@@ -51,7 +51,7 @@
     if (answer === undefined) {
         return { kind: "unknown" };
     }
-    return answer.body.length > INTENT_LIMITS.answerBytes ? { kind: "unkept" } : { kind: "answered", answer };
+    return answer.body.length > INTENT_LIMITS.maxAnswerLength ? { kind: "unkept" } : { kind: "answered", answer };
 };
 
 const isOver = ({ parts, call }: IntentAttempt): boolean =>
@@ -71,7 +71,7 @@
     const { ctx } = parts;
     const reply = entry.vm === ctx.settings.vm ? ownReply(attempt, entry) : await queryOwner(ctx, entry);
     const isListed = ctx.membership.members().some(member => member.vm === entry.vm);
-    const decision = verdictOfTaken(entry, reply, isListed, log.view().lastAt);
+    const decision = decideTakenKey(entry, reply, isListed, log.view().lastAt);
     switch (decision.kind) {
         case "running":
             return refuse("intent-running", reply === undefined ? `${entry.vm} cannot be reached.` : undefined);
@@ -97,7 +97,7 @@
 
 function admitByStatus(
     attempt: IntentAttempt,
-    status: IntentStanding,
+    status: KeyStatus,
     intentId: RecordId | undefined,
 ): Promise<Admitted> {
     switch (status.kind) {
@@ -163,7 +163,7 @@
         await recorder.withdraw(intentId, key);
         return refuse("log-unavailable");
     }
-    const status = standingOf(log.view(), { key, fingerprint, intentId }, INTENT_LIMITS.windowMs);
+    const status = keyStatusOf(log.view(), { key, fingerprint, intentId }, INTENT_LIMITS.windowMs);
     if (status.kind === "window-lost") {
         await recorder.withdraw(intentId, key);
     }
@@ -182,7 +182,7 @@
         Right: view =>
             admitByStatus(
                 attempt,
-                standingOf(view, { key, fingerprint, intentId: undefined }, INTENT_LIMITS.windowMs),
+                keyStatusOf(view, { key, fingerprint, intentId: undefined }, INTENT_LIMITS.windowMs),
                 undefined,
             ),
     });
--- a/packages/daemon/src/intent/createIntentRecorder.ts
+++ b/packages/daemon/src/intent/createIntentRecorder.ts
@@ -49,7 +49,7 @@
         const timer = setTimeout(() => {
             own.forget(intentId);
             withdrawals.delete(intentId);
-        }, INTENT_LIMITS.runningMs);
+        }, INTENT_LIMITS.maxRunningMs);
         timer.unref();
     };
     const withdrawRecord = (intentId: RecordId, key: KeyDigest): Promise<void> =>
--- a/packages/daemon/src/placement/PlacementModel.ts
+++ b/packages/daemon/src/placement/PlacementModel.ts
@@ -88,7 +88,7 @@
             switch (effect.kind) {
                 case "begin-cache":
                     metrics.incarnationChanged();
-                    index.begin(endpoint, effect.incarnation);
+                    index.startIncarnation(endpoint, effect.incarnation);
                     this.#parts.resync(endpoint, true);
                     break;
                 case "probe":
--- a/packages/daemon/src/placement/createPlacementPort.ts
+++ b/packages/daemon/src/placement/createPlacementPort.ts
@@ -106,7 +106,7 @@
             cursor: () => ({
                 incarnation: index.incarnationOf(spec.name),
                 seq: index.seqOf(spec.name),
-                doubtful: index.isDoubtful(spec.name),
+                doubtful: index.needsResync(spec.name),
             }),
         });
 
@@ -193,7 +193,7 @@
     const inspect = (): readonly EndpointInfo[] =>
         endpointTable.specs().flatMap(spec => {
             const state = endpointTable.stateOf(spec.name);
-            return state === undefined ? [] : [describeEndpoint(spec, state, index.isDoubtful(spec.name), now())];
+            return state === undefined ? [] : [describeEndpoint(spec, state, index.needsResync(spec.name), now())];
         });
 
     const unregister = [
--- a/packages/daemon/src/placement/shareEngineUpdates.ts
+++ b/packages/daemon/src/placement/shareEngineUpdates.ts
@@ -1,7 +1,7 @@
 import type { EndpointName, Millis, VmId } from "@azureshunt/core";
 import { rendezvousOrder } from "@azureshunt/core";
 import type { CacheEvent, LoadReport } from "@azureshunt/endpoint";
-import { followsItself } from "@azureshunt/endpoint";
+import { followsEngineDirectly } from "@azureshunt/endpoint";
 
 import type { DaemonContext } from "../ports/DaemonContext.js";
 import { EngineNews } from "./EngineNews.js";
@@ -65,7 +65,7 @@
         const update = received === undefined || receivedRank === -1
             ? undefined
             : { rank: receivedRank, at: received.at };
-        return followsItself(rankOf(endpoint, self), update, clock.now());
+        return followsEngineDirectly(rankOf(endpoint, self), update, clock.now());
     };
     const send = (updates: EngineNews): void =>
         domainPeers()
--- a/packages/daemon/src/ports/SuspectPort.ts
+++ b/packages/daemon/src/ports/SuspectPort.ts
@@ -1,7 +1,7 @@
 import type { EndpointName, Refusal } from "@azureshunt/core";
 import type { Either } from "purify-ts";
 
-import type { Admission } from "./Admission.js";
+import type { AdmissionResult } from "./AdmissionResult.js";
 import type { Call } from "./Call.js";
 import type { Placement } from "./Placement.js";
 import type { SuspectRunEnd } from "./SuspectRunEnd.js";
@@ -24,7 +24,7 @@
     /** Returns whether the request may run at an endpoint together with the requests that this VM runs there. */
     readonly mayShare: (call: Call, endpoint: EndpointName) => boolean;
     /** Checks whether a suspect may run at the endpoint, considering all VMs; other requests are admitted at once. */
-    readonly admit: (call: Call, placement: Placement) => Promise<Admission>;
+    readonly admit: (call: Call, placement: Placement) => Promise<AdmissionResult>;
     /** Registers a request that starts at an endpoint. */
     readonly running: (call: Call, placement: Placement) => SuspectRunHandle;
 };
--- a/packages/daemon/src/startDaemon.ts
+++ b/packages/daemon/src/startDaemon.ts
@@ -13,7 +13,7 @@
 import { createEndpointConnections } from "./dispatch/createEndpointConnections.js";
 import { createTries } from "./dispatch/createTries.js";
 import { createTrafficVersions } from "./fleet/createTrafficVersions.js";
-import { startFleet } from "./fleet/startFleet.js";
+import { startEngineOrders } from "./fleet/startEngineOrders.js";
 import { authenticateCaller } from "./gateway/authenticateCaller.js";
 import { recheckCall } from "./gateway/recheckCall.js";
 import { startCallerListener } from "./gateway/startCallerListener.js";
@@ -73,7 +73,7 @@
         () => placement.inspect().filter(endpoint => endpoint.health === "up"),
         clock.now,
     );
-    const fleet = startFleet(ctx, versionOf);
+    const fleet = startEngineOrders(ctx, versionOf);
     const intents = createIntentPort(ctx);
     const suspects = createSuspectPort(ctx);
     const placement = createPlacementPort(ctx, { mayShare: suspects.mayShare });
--- a/packages/daemon/src/suspects/createAdmission.ts
+++ b/packages/daemon/src/suspects/createAdmission.ts
@@ -2,7 +2,7 @@
 import { deathsOf, hasSuspects, isSuspect, quarantinedUntil, RequestFingerprint } from "@azureshunt/request";
 import { z } from "zod";
 
-import type { Admission } from "../ports/Admission.js";
+import type { AdmissionResult } from "../ports/AdmissionResult.js";
 import type { Call } from "../ports/Call.js";
 import type { DaemonContext } from "../ports/DaemonContext.js";
 import type { Placement } from "../ports/Placement.js";
@@ -30,14 +30,14 @@
 
 /** Admits suspects so that each runs once at a time over all VMs. */
 type SuspectAdmission = {
-    readonly admit: (call: Call, placement: Placement) => Promise<Admission>;
+    readonly admit: (call: Call, placement: Placement) => Promise<AdmissionResult>;
     /** To be called when an admitted call has been added to the running calls. */
     readonly runStarted: (dispatchId: DispatchId) => void;
     readonly stop: () => void;
 };
 
 /** A run that the other VMs are being queried about. */
-type RunQuery = SuspectRun & { conflict: Exclude<Admission, "admitted"> | undefined; };
+type RunQuery = SuspectRun & { conflict: Exclude<AdmissionResult, "admitted"> | undefined; };
 
 const QueryBody = z.object({
     fingerprint: RequestFingerprint,
@@ -122,7 +122,7 @@
         return conflicts.find(conflict => conflict === "request-busy") ?? conflicts.find(conflict => conflict);
     };
 
-    const admitSuspect = async (request: RequestFingerprint, placement: Placement): Promise<Admission> => {
+    const admitSuspect = async (request: RequestFingerprint, placement: Placement): Promise<AdmissionResult> => {
         await waitAtMost(waitForProbes(request), times.maxProbeWaitMs);
         const { endpoint, dispatchId } = placement;
         const conflict = conflictOf([...runs(), ...queries.values()], { request, endpoint }, isSuspected);
--- a/packages/daemon/src/suspects/createSuspectPort.ts
+++ b/packages/daemon/src/suspects/createSuspectPort.ts
@@ -1,5 +1,12 @@
 import type { EndpointName } from "@azureshunt/core";
-import { deathsOf, hasSuspects, isHeld, isSpreadTo, mayShareEndpoint, suspectedDeaths } from "@azureshunt/request";
+import {
+    deathsOf,
+    hasSuspects,
+    isAssignedEndpoint,
+    isWithheld,
+    mayShareEndpoint,
+    suspectedDeaths,
+} from "@azureshunt/request";
 import type { RequestFingerprint, SuspectEffect } from "@azureshunt/request";
 import { Left, Right } from "purify-ts";
 
@@ -54,7 +61,7 @@
         const request = fingerprintCall(call);
         await suspects.apply({ kind: "broke", request, death: deathIdOf(placement) });
         const checked = deathChecker.checkDeath(placement);
-        if (isHeld(state(), request)) {
+        if (isWithheld(state(), request)) {
             logger.info(
                 { fingerprint: request, call: call.id },
                 "A request waits until the deaths of its endpoints have been checked.",
@@ -92,7 +99,7 @@
         const request = fingerprintCall(call);
         const beside = calls.at(endpoint).map(fingerprintCall);
         return mayShareEndpoint(state(), request, beside)
-            && isSpreadTo(state(), request, endpoint, modelEndpoints(), clock.now());
+            && isAssignedEndpoint(state(), request, endpoint, modelEndpoints(), clock.now());
     };
 
     const running: SuspectPort["running"] = (call, placement) => {
--- a/packages/daemon/src/suspects/hasDied.ts
+++ b/packages/daemon/src/suspects/hasDied.ts
@@ -1,11 +1,11 @@
 import type { Incarnation, Millis } from "@azureshunt/core";
 import { probeUntilClear } from "@azureshunt/request";
-import type { Probe, ProbePace } from "@azureshunt/request";
+import type { ProbeResult, ProbeTiming } from "@azureshunt/request";
 import { request } from "undici";
 import { z } from "zod";
 
 /** Timeouts and intervals of probing an engine. */
-type ProbeBounds = ProbePace & {
+type ProbeBounds = ProbeTiming & {
     /** Timeout of one probe. */
     readonly answerMs: Millis;
 };
@@ -19,7 +19,7 @@
 /** Error of a connection to an address where nothing listens. */
 const REFUSED = "ECONNREFUSED";
 
-const probe = async (url: string, incarnation: Incarnation | undefined, answerMs: number): Promise<Probe> => {
+const probe = async (url: string, incarnation: Incarnation | undefined, answerMs: number): Promise<ProbeResult> => {
     try {
         const res = await request(`${url}/v1/state`, { signal: AbortSignal.timeout(answerMs), reset: true });
         const state = State.safeParse(await res.body.json());
--- a/packages/daemon/src/suspects/refuseSuspect.ts
+++ b/packages/daemon/src/suspects/refuseSuspect.ts
@@ -1,6 +1,6 @@
 import { refusalOf } from "@azureshunt/core";
 import type { Millis, Refusal } from "@azureshunt/core";
-import { deathsOf, heldUntil, quarantinedUntil } from "@azureshunt/request";
+import { deathsOf, quarantinedUntil, withheldUntil } from "@azureshunt/request";
 import type { RequestFingerprint, SuspectState } from "@azureshunt/request";
 
 import { SUSPECT_TIMES } from "./SUSPECT_TIMES.js";
@@ -26,6 +26,6 @@
     if (until !== undefined) {
         return refusalOf("request-crashes-endpoints", `It is stopped for ${secondsUntil(until, now)} s more.`);
     }
-    const held = heldUntil(state, request, now);
+    const held = withheldUntil(state, request, now);
     return held === undefined ? undefined : heldRefusal(state, request, held, now);
 }
--- a/packages/daemon/src/suspects/startSuspectAggregate.ts
+++ b/packages/daemon/src/suspects/startSuspectAggregate.ts
@@ -1,5 +1,12 @@
 import type { Clock, Millis, Step } from "@azureshunt/core";
-import { clearSuspect, noSuspects, noteBreak, noteDeath, quarantine, settleBreak } from "@azureshunt/request";
+import {
+    clearPossibleDeath,
+    clearSuspect,
+    noSuspects,
+    quarantine,
+    recordBrokenTry,
+    recordDeath,
+} from "@azureshunt/request";
 import type { SuspectEffect, SuspectState } from "@azureshunt/request";
 import type { ActorSystemRef } from "nact";
 
@@ -13,11 +20,11 @@
 const reduceEvent = (state: SuspectState, event: SuspectEvent, now: Millis): Step<SuspectState, SuspectEffect> => {
     switch (event.kind) {
         case "broke":
-            return { state: noteBreak(state, event.request, event.death), effects: [] };
+            return { state: recordBrokenTry(state, event.request, event.death), effects: [] };
         case "settled":
-            return { state: settleBreak(state, event.death), effects: [] };
+            return { state: clearPossibleDeath(state, event.death), effects: [] };
         case "death": {
-            const step = noteDeath(state, event.report, now);
+            const step = recordDeath(state, event.report, now);
             return event.gatheredHere ? step : { state: step.state, effects: [] };
         }
         case "quarantine":
--- a/packages/endpoint/src/__tests__/unit/PrefixIndex.test.ts
+++ b/packages/endpoint/src/__tests__/unit/PrefixIndex.test.ts
@@ -26,7 +26,7 @@
     Array.from({ length: PIECES }, (_, n) => n).filter(n => index.match([piece(n)], [ENGINE], now)[0] === 1);
 const started = (current = INCARNATIONS[0]!) => {
     const index = new PrefixIndex();
-    index.begin(ENGINE, current);
+    index.startIncarnation(ENGINE, current);
     index.resync(ENGINE, { incarnation: current, seq: 0, hashes: [] });
     return index;
 };
@@ -35,7 +35,7 @@
     // Events of a crashed engine's previous incarnation arrive late, and its prefixes are taken for cached.
     const index = started();
     index.apply(ENGINE, event(1, "stored", [1, 2]));
-    index.begin(ENGINE, INCARNATIONS[1]!);
+    index.startIncarnation(ENGINE, INCARNATIONS[1]!);
     t.is(index.apply(ENGINE, event(2, "stored", [3])), "other-incarnation");
     index.assume(ENGINE, INCARNATIONS[0]!, [piece(4)], Infinity);
     t.false(index.resync(ENGINE, { incarnation: INCARNATIONS[0]!, seq: 9, hashes: [piece(5)] }));
@@ -52,7 +52,7 @@
         const index = started();
         t.is(events.map(each => index.apply(ENGINE, each)).at(-1) as string, outcome);
         t.deepEqual(heldPieces(index), holds);
-        t.is(index.isDoubtful(ENGINE), outcome === "gap");
+        t.is(index.needsResync(ENGINE), outcome === "gap");
     })
 );
 
@@ -138,7 +138,7 @@
                             engine.seq = 0;
                             engine.cache.clear();
                             heldAfter = [[]];
-                            index.begin(ENGINE, INCARNATIONS[engine.incarnation]!);
+                            index.startIncarnation(ENGINE, INCARNATIONS[engine.incarnation]!);
                         }
                         break;
                     case "replay":
@@ -147,12 +147,12 @@
                         );
                         break;
                 }
-                if (!index.isDoubtful(ENGINE)) {
+                if (!index.needsResync(ENGINE)) {
                     t.deepEqual(heldPieces(index), heldAfter[index.seqOf(ENGINE)]);
                 }
             });
             index.resync(ENGINE, takeSnapshot());
-            t.false(index.isDoubtful(ENGINE));
+            t.false(index.needsResync(ENGINE));
             t.deepEqual(heldPieces(index), [...engine.cache].sort((a, b) => a - b));
         }),
         { seed: SEED, numRuns: 300 },
--- a/packages/endpoint/src/__tests__/unit/followsItself.test.ts
+++ b/packages/endpoint/src/__tests__/unit/followsEngineDirectly.test.ts
@@ -1,6 +1,6 @@
 import test from "ava";
 
-import { followsItself } from "../../cache/followsItself.js";
+import { followsEngineDirectly } from "../../cache/followsEngineDirectly.js";
 
 [
     { name: "the first VM in order", rank: 0, lastUpdate: { rank: 1, at: 100 }, follows: true },
@@ -33,6 +33,6 @@
     },
 ].forEach(({ name, rank, lastUpdate, follows }) =>
     test(`follows an engine itself: ${name}`, t => {
-        t.is(followsItself(rank, lastUpdate, 100), follows);
+        t.is(followsEngineDirectly(rank, lastUpdate, 100), follows);
     })
 );
--- a/packages/endpoint/src/cache/PrefixIndex.ts
+++ b/packages/endpoint/src/cache/PrefixIndex.ts
@@ -50,7 +50,7 @@
     }
 
     /** Starts an incarnation of an endpoint with an empty cache and removes all entries of the previous one. */
-    begin(endpoint: EndpointName, incarnation: Incarnation): void {
+    startIncarnation(endpoint: EndpointName, incarnation: Incarnation): void {
         if (this.#current.get(endpoint)?.incarnation === incarnation) {
             return;
         }
@@ -128,7 +128,7 @@
     }
 
     /** Returns whether an endpoint needs a resync; also true for an unknown endpoint. */
-    isDoubtful(endpoint: EndpointName): boolean {
+    needsResync(endpoint: EndpointName): boolean {
         return this.#current.get(endpoint)?.needsResync ?? true;
     }
 
--- a/packages/endpoint/src/cache/followsItself.ts
+++ b/packages/endpoint/src/cache/followsEngineDirectly.ts
@@ -22,7 +22,7 @@
  * @param rank rank of this VM in the engine's order, 0 for the first
  * @param lastUpdate last update received about the engine; undefined if there is none
  */
-export function followsItself(rank: number, lastUpdate: ReceivedUpdate | undefined, now: Millis): boolean {
+export function followsEngineDirectly(rank: number, lastUpdate: ReceivedUpdate | undefined, now: Millis): boolean {
     const takeoverDelay = Math.min(MAX_TAKEOVER_DELAY_MS, rank * TAKEOVER_DELAY_MS);
     return lastUpdate === undefined || lastUpdate.rank >= rank || now - lastUpdate.at >= takeoverDelay;
 }
--- a/packages/endpoint/src/index.ts
+++ b/packages/endpoint/src/index.ts
@@ -2,7 +2,7 @@
 export type { CacheEvent } from "./cache/CacheEvent.js";
 export type { CacheEventOutcome } from "./cache/CacheEventOutcome.js";
 export type { CacheSnapshot } from "./cache/CacheSnapshot.js";
-export { followsItself } from "./cache/followsItself.js";
+export { followsEngineDirectly } from "./cache/followsEngineDirectly.js";
 export { partitionOf } from "./cache/partitionOf.js";
 export { PrefixIndex } from "./cache/PrefixIndex.js";
 export { candidatesOf } from "./choice/candidatesOf.js";
--- a/packages/fleet/src/__tests__/unit/lease.test.ts
+++ b/packages/fleet/src/__tests__/unit/lease.test.ts
@@ -3,8 +3,8 @@
 import test from "ava";
 import fc from "fast-check";
 
+import { fencingTokenForOrder } from "../../fencingTokenForOrder.js";
 import type { LeaseState } from "../../LeaseState.js";
-import { mayOrder } from "../../mayOrder.js";
 import { newLease } from "../../newLease.js";
 import { stepLease } from "../../stepLease.js";
 
@@ -41,14 +41,14 @@
     const log = [...logOf(a.effects), ...logOf(b.effects, 1)];
     const states = [a.state, b.state].map(state => read(state, log, CLAIM_AFTER_MS + 10));
     t.deepEqual(states.map(state => state.holder?.vm as string), ["a", "a"]);
-    t.deepEqual(states.map(state => mayOrder(state, CLAIM_AFTER_MS + 20, true, ORDER_MS)), [0, undefined]);
+    t.deepEqual(states.map(state => fencingTokenForOrder(state, CLAIM_AFTER_MS + 20, true, ORDER_MS)), [0, undefined]);
 });
 
 test("lease: a holder that was suspended beyond its lease sends no order", t => {
     // A process is suspended, its lease expires and another daemon takes it. When resumed, it sends its planned orders.
     const { state } = holder();
-    t.is(mayOrder(state, CLAIM_AFTER_MS + 20, true, ORDER_MS), 0);
-    t.is(mayOrder(state, CLAIM_AFTER_MS + TTL, true, ORDER_MS), undefined);
+    t.is(fencingTokenForOrder(state, CLAIM_AFTER_MS + 20, true, ORDER_MS), 0);
+    t.is(fencingTokenForOrder(state, CLAIM_AFTER_MS + TTL, true, ORDER_MS), undefined);
 });
 
 [
@@ -63,7 +63,7 @@
     { name: "ignores fencing, enough time left", checks: false, at: CLAIM_AFTER_MS + 1_000, allowed: true },
 ].forEach(({ name, checks, at, allowed }) =>
     test(`lease: order to an engine that ${name}`, t => {
-        t.is(mayOrder(holder().state, at, checks, ORDER_MS) !== undefined, allowed);
+        t.is(fencingTokenForOrder(holder().state, at, checks, ORDER_MS) !== undefined, allowed);
     })
 );
 
@@ -71,7 +71,7 @@
     const { state } = holder();
     const renewed = tick(state, "a-2", CLAIM_AFTER_MS + TTL / 2);
     const after = read(renewed.state, logOf(renewed.effects, 1), CLAIM_AFTER_MS + TTL / 2 + 10);
-    t.is(mayOrder(after, CLAIM_AFTER_MS + TTL + 100, true, ORDER_MS), 0);
+    t.is(fencingTokenForOrder(after, CLAIM_AFTER_MS + TTL + 100, true, ORDER_MS), 0);
     const other = read(leaseOf("b"), [...holder().log, ...logOf(renewed.effects, 1)], 2 * CLAIM_AFTER_MS);
     const claim = tick(other, "b-1", 4 * CLAIM_AFTER_MS);
     t.is(read(claim.state, logOf(claim.effects, 2), 4 * CLAIM_AFTER_MS + 1).holder?.fencing, 2);
@@ -115,7 +115,7 @@
                         now += ms;
                         break;
                 }
-                const holding = states.filter(each => mayOrder(each, now, true, ORDER_MS) !== undefined);
+                const holding = states.filter(each => fencingTokenForOrder(each, now, true, ORDER_MS) !== undefined);
                 t.true(holding.length <= 1);
             });
         }),
--- a/packages/fleet/src/mayOrder.ts
+++ b/packages/fleet/src/fencingTokenForOrder.ts
@@ -15,7 +15,12 @@
  * @param orderMs maximum duration of an order
  * @returns undefined if the order must not be sent
  */
-export function mayOrder(state: LeaseState, now: Millis, checksFencing: boolean, orderMs: Millis): number | undefined {
+export function fencingTokenForOrder(
+    state: LeaseState,
+    now: Millis,
+    checksFencing: boolean,
+    orderMs: Millis,
+): number | undefined {
     const { holder, heldUntil, heldSince, incarnation } = state;
     if (holder?.incarnation !== incarnation || heldUntil <= now) {
         return undefined;
--- a/packages/fleet/src/planOrders.ts
+++ b/packages/fleet/src/planOrders.ts
@@ -1,11 +1,11 @@
 import type { EndpointName } from "@azureshunt/core";
 import type { Configuration, EndpointSpec } from "@azureshunt/release";
 
-import type { FleetOrder } from "./FleetOrder.js";
 import { isSameWeights } from "./isSameWeights.js";
 import type { ObservedEngine } from "./ObservedEngine.js";
 import { wantedWeights } from "./wantedWeights.js";
 import type { Weights } from "./Weights.js";
+import type { WeightsOrder } from "./WeightsOrder.js";
 
 /** Inputs for planning orders. */
 type PlanInput = {
@@ -23,7 +23,7 @@
 const includes = (list: readonly Weights[], weights: Weights): boolean =>
     list.some(other => isSameWeights(other, weights));
 
-const loadsOf = (engine: ObservedEngine, wanted: readonly Weights[]): readonly FleetOrder[] =>
+const loadsOf = (engine: ObservedEngine, wanted: readonly Weights[]): readonly WeightsOrder[] =>
     wanted
         .filter(weights => !includes(engine.holds, weights) && !includes(engine.loading, weights))
         .map(weights => ({ endpoint: engine.name, action: "load", weights }));
@@ -32,7 +32,7 @@
     engine: ObservedEngine,
     wanted: readonly Weights[],
     mayUnload: PlanInput["mayUnload"],
-): readonly FleetOrder[] =>
+): readonly WeightsOrder[] =>
     engine.holds
         .filter(weights => !includes(wanted, weights) && mayUnload(weights))
         .map(weights => ({ endpoint: engine.name, action: "unload", weights }));
@@ -47,7 +47,7 @@
  * The plan depends only on the current state and not on earlier orders. An order that was lost is planned again, and so
  * is one that the holder of an older lease undid at an engine that does not check fencing tokens.
  */
-export function planOrders(input: PlanInput): readonly FleetOrder[] {
+export function planOrders(input: PlanInput): readonly WeightsOrder[] {
     const { cfg, engines, busy, maxLoads, mayUnload } = input;
     const loading = engines.reduce((sum, engine) => sum + engine.loading.length, 0);
     const planned = engines
--- a/packages/intent/src/INTENT_LIMITS.ts
+++ b/packages/intent/src/INTENT_LIMITS.ts
@@ -8,17 +8,17 @@
     /** How long a key is remembered, by the log's timestamps. */
     windowMs: 60 * MINUTE_MS,
     /** Maximum time from an intent's append to its dispatch; afterwards it may not begin. Far below the window. */
-    beginMs: 30 * SECOND_MS,
+    maxBeginDelayMs: 30 * SECOND_MS,
     /** Age of an intent after which its request cannot be running any more. */
-    runningMs: 2 * MINUTE_MS,
+    maxRunningMs: 2 * MINUTE_MS,
     /** The same if its VM is not a listed member. Not 0, because the list lags and lacks a VM that has just started. */
-    unlistedMs: 15 * SECOND_MS,
+    unlistedOwnerMs: 15 * SECOND_MS,
     /** Interval between snapshots of a partition. The log must retain records for several intervals. */
     snapshotMs: 5 * MINUTE_MS,
     /** Maximum entries in one snapshot record. */
     snapshotEntries: 400,
     /** Maximum length of an answer's body, in base64 digits; longer answers are not stored. */
-    answerBytes: 32_768,
+    maxAnswerLength: 32_768,
 } as const;
 
 export { INTENT_LIMITS };
--- a/packages/intent/src/IntentStanding.ts
+++ b/packages/intent/src/KeyStatus.ts
@@ -11,7 +11,7 @@
  * - `reused`: the key belongs to a different request.
  * - `window-lost`: the log does not show whether the key was used within the window.
  */
-export type IntentStanding =
+export type KeyStatus =
     | { readonly kind: "free" | "owner" | "reused" | "window-lost"; }
     | { readonly kind: "taken"; readonly entry: IntentEntry; }
     | { readonly kind: "ended"; readonly outcome: IntentOutcome; };
--- a/packages/intent/src/__tests__/unit/intents.test.ts
+++ b/packages/intent/src/__tests__/unit/intents.test.ts
@@ -3,6 +3,7 @@
 import fc from "fast-check";
 
 import { beginIntent } from "../../beginIntent.js";
+import { decideTakenKey } from "../../decideTakenKey.js";
 import { digestKey } from "../../digestKey.js";
 import { emptyPartition } from "../../emptyPartition.js";
 import { foldIntents } from "../../foldIntents.js";
@@ -10,6 +11,7 @@
 import type { IntentOutcome } from "../../IntentOutcome.js";
 import type { IntentPartition } from "../../IntentPartition.js";
 import type { IntentRecord } from "../../IntentRecord.js";
+import { keyStatusOf } from "../../keyStatusOf.js";
 import { loadPartition } from "../../loadPartition.js";
 import type { LoggedIntent } from "../../LoggedIntent.js";
 import type { OwnerReply } from "../../OwnerReply.js";
@@ -17,8 +19,6 @@
 import { partitionOf } from "../../partitionOf.js";
 import { reopenIntent } from "../../reopenIntent.js";
 import { snapshotRecords } from "../../snapshotRecords.js";
-import { standingOf } from "../../standingOf.js";
-import { verdictOfTaken } from "../../verdictOfTaken.js";
 import { withdrawIntent } from "../../withdrawIntent.js";
 
 const SEED = 20_261_202;
@@ -48,7 +48,7 @@
     records.map(([name, record, at = 0], index) => ({ offset: start + index, id: id(name), at, record }));
 
 const statusOf = (partition: IntentPartition, intentId?: string, fingerprint = "card hold"): string =>
-    standingOf(
+    keyStatusOf(
         partition,
         { key: KEY, fingerprint, intentId: intentId === undefined ? undefined : id(intentId) },
         WINDOW,
@@ -180,7 +180,12 @@
 
 [
     { name: "an open intent begins", own: OWN, now: 1, may: true },
-    { name: "an open intent does not begin after a long suspension", own: OWN, now: INTENT_LIMITS.beginMs, may: false },
+    {
+        name: "an open intent does not begin after a long suspension",
+        own: OWN,
+        now: INTENT_LIMITS.maxBeginDelayMs,
+        may: false,
+    },
     { name: "a withdrawn intent does not begin", own: withdrawIntent(OWN) ?? OWN, now: 1, may: false },
     { name: "an intent does not begin twice", own: beginIntent(OWN, 1) ?? OWN, now: 1, may: false },
 ].forEach(({ name, own, now, may }) =>
@@ -192,7 +197,11 @@
 test("intent: a try that certainly did not run reopens the intent", t => {
     const reopened = reopenIntent(beginIntent(OWN, 1) ?? OWN) ?? OWN;
     t.is(reopened.phase, "open");
-    t.is(beginIntent(reopened, INTENT_LIMITS.beginMs), undefined, "the time limit is still measured from the append");
+    t.is(
+        beginIntent(reopened, INTENT_LIMITS.maxBeginDelayMs),
+        undefined,
+        "the time limit is still measured from the append",
+    );
     t.is(reopenIntent({ ...OWN, phase: "withdrawn" }), undefined);
 });
 
@@ -232,19 +241,19 @@
         name: "the owner's VM is gone",
         reply: undefined,
         listed: false,
-        lastAt: INTENT_LIMITS.unlistedMs + 1,
+        lastAt: INTENT_LIMITS.unlistedOwnerMs + 1,
         expected: "unknown",
     },
     {
         name: "the owner has been unreachable for long",
         reply: undefined,
         listed: true,
-        lastAt: INTENT_LIMITS.runningMs + 1,
+        lastAt: INTENT_LIMITS.maxRunningMs + 1,
         expected: "unknown",
     },
 ].forEach(({ name, reply: received, listed, lastAt, expected }) =>
     test(`intent: key owned by another intent, ${name}`, t => {
-        const decision = verdictOfTaken(ENTRY, received, listed, lastAt);
+        const decision = decideTakenKey(ENTRY, received, listed, lastAt);
         const found: string = decision.kind === "ended" ? decision.outcome.kind : decision.kind;
         t.is(found, expected);
     })
--- a/packages/intent/src/beginIntent.ts
+++ b/packages/intent/src/beginIntent.ts
@@ -13,6 +13,6 @@
  * @returns `undefined` if the intent may not be used any more
  */
 export function beginIntent(own: OwnIntent, now: Millis): OwnIntent | undefined {
-    const isInTime = now - own.since < INTENT_LIMITS.beginMs;
+    const isInTime = now - own.since < INTENT_LIMITS.maxBeginDelayMs;
     return own.phase === "open" && isInTime ? { ...own, phase: "begun" } : undefined;
 }
--- a/packages/intent/src/verdictOfTaken.ts
+++ b/packages/intent/src/decideTakenKey.ts
@@ -14,14 +14,14 @@
  * @param isListed whether the owner's VM is a listed member; a VM that has just started is not yet
  * @param lastAt the log's timestamp of the newest record read
  */
-export function verdictOfTaken(
+export function decideTakenKey(
     entry: IntentEntry,
     reply: OwnerReply | undefined,
     isListed: boolean,
     lastAt: number,
 ): TakenKeyDecision {
     if (reply === undefined) {
-        const maxAgeMs = isListed ? INTENT_LIMITS.runningMs : INTENT_LIMITS.unlistedMs;
+        const maxAgeMs = isListed ? INTENT_LIMITS.maxRunningMs : INTENT_LIMITS.unlistedOwnerMs;
         return lastAt - entry.at > maxAgeMs ? UNKNOWN : { kind: "running" };
     }
     if (reply.incarnation !== entry.incarnation || reply.phase === "absent") {
--- a/packages/intent/src/index.ts
+++ b/packages/intent/src/index.ts
@@ -1,5 +1,6 @@
 /** Intent log, which decides whether a request that may not be repeated may be dispatched. */
 export { beginIntent } from "./beginIntent.js";
+export { decideTakenKey } from "./decideTakenKey.js";
 export { digestKey } from "./digestKey.js";
 export { emptyPartition } from "./emptyPartition.js";
 export { foldIntents } from "./foldIntents.js";
@@ -8,8 +9,9 @@
 export { IntentOutcome } from "./IntentOutcome.js";
 export type { IntentPartition } from "./IntentPartition.js";
 export { IntentRecord } from "./IntentRecord.js";
-export type { IntentStanding } from "./IntentStanding.js";
 export { KeyDigest } from "./KeyDigest.js";
+export type { KeyStatus } from "./KeyStatus.js";
+export { keyStatusOf } from "./keyStatusOf.js";
 export { loadPartition } from "./loadPartition.js";
 export type { LoggedIntent } from "./LoggedIntent.js";
 export type { OwnerReply } from "./OwnerReply.js";
@@ -17,7 +19,5 @@
 export { partitionOf } from "./partitionOf.js";
 export { reopenIntent } from "./reopenIntent.js";
 export { snapshotRecords } from "./snapshotRecords.js";
-export { standingOf } from "./standingOf.js";
 export type { TakenKeyDecision } from "./TakenKeyDecision.js";
-export { verdictOfTaken } from "./verdictOfTaken.js";
 export { withdrawIntent } from "./withdrawIntent.js";
--- a/packages/intent/src/standingOf.ts
+++ b/packages/intent/src/keyStatusOf.ts
@@ -1,8 +1,8 @@
 import type { RecordId } from "@azureshunt/core";
 
 import type { IntentPartition } from "./IntentPartition.js";
-import type { IntentStanding } from "./IntentStanding.js";
 import type { KeyDigest } from "./KeyDigest.js";
+import type { KeyStatus } from "./KeyStatus.js";
 
 /** A request whose key is looked up. */
 type KeyQuery = {
@@ -18,7 +18,7 @@
  * @param partition must be read at least up to the request's own intent, if it has one
  * @param windowMs how long a key is remembered
  */
-export function standingOf(partition: IntentPartition, query: KeyQuery, windowMs: number): IntentStanding {
+export function keyStatusOf(partition: IntentPartition, query: KeyQuery, windowMs: number): KeyStatus {
     const entry = partition.entries.get(query.key);
     if (entry === undefined) {
         return { kind: "free" };
--- a/packages/membership/src/__tests__/unit/servesFrom.test.ts
+++ b/packages/membership/src/__tests__/unit/servesFrom.test.ts
@@ -1,6 +1,7 @@
 import { FailureDomain, Incarnation, OrganisationId, VmId } from "@azureshunt/core";
 import test from "ava";
 
+import { confirmedAge } from "../../confirmedAge.js";
 import { homeOf } from "../../homeOf.js";
 import type { Membership } from "../../Membership.js";
 import type { MembershipEvent } from "../../MembershipEvent.js";
@@ -8,7 +9,6 @@
 import { openMembership } from "../../openMembership.js";
 import { servesFrom } from "../../servesFrom.js";
 import { stepMembership } from "../../stepMembership.js";
-import { vouchedAge } from "../../vouchedAge.js";
 
 const KEEP_MS = 1_500;
 const NORTH = FailureDomain.parse("north");
@@ -106,6 +106,6 @@
 });
 
 test("membership: a VM that waits for hand-overs or grants does not confirm earlier accrual", t => {
-    t.true(vouchedAge(opened, 100) < 0);
-    t.is(vouchedAge(withPeer, 100), Infinity);
+    t.true(confirmedAge(opened, 100) < 0);
+    t.is(confirmedAge(withPeer, 100), Infinity);
 });
--- a/packages/membership/src/index.ts
+++ b/packages/membership/src/index.ts
@@ -1,4 +1,5 @@
 /** Members of the installation, and the home VM of each organisation. */
+export { confirmedAge } from "./confirmedAge.js";
 export { homeOf } from "./homeOf.js";
 export type { ListedVm } from "./ListedVm.js";
 export type { MemberEntry } from "./MemberEntry.js";
@@ -10,4 +11,3 @@
 export { openMembership } from "./openMembership.js";
 export { servesFrom } from "./servesFrom.js";
 export { stepMembership } from "./stepMembership.js";
-export { vouchedAge } from "./vouchedAge.js";
--- a/packages/request/src/Probe.ts
+++ b/packages/request/src/ProbeResult.ts
@@ -1,2 +1,2 @@
 /** Result of probing a process once. `unclear`: it may be dying, or the probe did not reach it. */
-export type Probe = "alive" | "dead" | "unclear";
+export type ProbeResult = "alive" | "dead" | "unclear";
--- a/packages/request/src/__tests__/unit/suspects.test.ts
+++ b/packages/request/src/__tests__/unit/suspects.test.ts
@@ -4,13 +4,13 @@
 
 import { clearSuspect } from "../../clearSuspect.js";
 import { fingerprintOf } from "../../fingerprintOf.js";
-import { isSpreadTo } from "../../isSpreadTo.js";
+import { isAssignedEndpoint } from "../../isAssignedEndpoint.js";
 import { isSuspect } from "../../isSuspect.js";
 import { mayShareEndpoint } from "../../mayShareEndpoint.js";
 import { noSuspects } from "../../noSuspects.js";
-import { noteDeath } from "../../noteDeath.js";
 import { quarantine } from "../../quarantine.js";
 import { quarantinedUntil } from "../../quarantinedUntil.js";
+import { recordDeath } from "../../recordDeath.js";
 import type { RequestFingerprint } from "../../RequestFingerprint.js";
 import { SUSPECT_LIMITS } from "../../SUSPECT_LIMITS.js";
 import type { SuspectState } from "../../SuspectState.js";
@@ -31,7 +31,7 @@
             at,
             running: running.map(fingerprint),
         };
-        return noteDeath(state, { death, complete }, at).state;
+        return recordDeath(state, { death, complete }, at).state;
     }, noSuspects);
 
 // Guards against a request that crashes one engine after the other, and against quarantining an unrelated request that
@@ -127,8 +127,8 @@
 
 test("suspects: the same death reported twice counts once", t => {
     const death = { id: "d", endpoint: EndpointName.parse("e"), at: 0, running: [fingerprint("a")] };
-    const once = noteDeath(noSuspects, { death, complete: true }, 0).state;
-    const twice = noteDeath(once, { death, complete: true }, 1);
+    const once = recordDeath(noSuspects, { death, complete: true }, 0).state;
+    const twice = recordDeath(once, { death, complete: true }, 1);
     t.deepEqual(twice.effects, []);
     t.is(twice.state.deaths.length, 1);
 });
@@ -148,7 +148,7 @@
                     at: 0,
                     running: [killer, ...beside],
                 };
-                return noteDeath(known, { death, complete: true }, 0).state;
+                return recordDeath(known, { death, complete: true }, 0).state;
             }, noSuspects);
             return state.quarantined.size === 1 && state.quarantined.has(killer);
         }),
@@ -165,7 +165,7 @@
     const endpoints = ["engine-0", "engine-1", "engine-2", "engine-3"].map(name => EndpointName.parse(name));
     const state = stateAfter([{ running: ["killer", "a"] }]);
     const assignedTo = (name: Name, at: number) =>
-        endpoints.filter(endpoint => isSpreadTo(state, fingerprint(name), endpoint, endpoints, at));
+        endpoints.filter(endpoint => isAssignedEndpoint(state, fingerprint(name), endpoint, endpoints, at));
     const [killer, other] = [assignedTo("killer", 0), assignedTo("a", 0)];
     t.false(killer.some(endpoint => other.includes(endpoint)));
     t.true(killer.length > 0 && other.length > 0);
--- a/packages/request/src/__tests__/unit/withheldRequests.test.ts
+++ b/packages/request/src/__tests__/unit/withheldRequests.test.ts
@@ -1,17 +1,17 @@
 import { EndpointName } from "@azureshunt/core";
 import test from "ava";
 
+import { clearPossibleDeath } from "../../clearPossibleDeath.js";
 import { clearSuspect } from "../../clearSuspect.js";
 import { fingerprintOf } from "../../fingerprintOf.js";
 import { hasSuspects } from "../../hasSuspects.js";
-import { isHeld } from "../../isHeld.js";
 import { isSuspect } from "../../isSuspect.js";
+import { isWithheld } from "../../isWithheld.js";
 import { noSuspects } from "../../noSuspects.js";
-import { noteBreak } from "../../noteBreak.js";
-import { noteDeath } from "../../noteDeath.js";
 import { quarantinedUntil } from "../../quarantinedUntil.js";
+import { recordBrokenTry } from "../../recordBrokenTry.js";
+import { recordDeath } from "../../recordDeath.js";
 import type { RequestFingerprint } from "../../RequestFingerprint.js";
-import { settleBreak } from "../../settleBreak.js";
 import type { SuspectState } from "../../SuspectState.js";
 
 const fingerprint = (name: string): RequestFingerprint => fingerprintOf([name]);
@@ -19,7 +19,7 @@
 type Change = (state: SuspectState) => SuspectState;
 
 const died = (death: string, running: readonly string[], complete: boolean): Change => state =>
-    noteDeath(
+    recordDeath(
         state,
         {
             death: { id: death, endpoint: EndpointName.parse("engine"), at: 0, running: running.map(fingerprint) },
@@ -27,8 +27,9 @@
         },
         0,
     ).state;
-const brokeOff = (request: string, death: string): Change => state => noteBreak(state, fingerprint(request), death);
-const checked = (death: string): Change => state => settleBreak(state, death);
+const brokeOff = (request: string, death: string): Change => state =>
+    recordBrokenTry(state, fingerprint(request), death);
+const checked = (death: string): Change => state => clearPossibleDeath(state, death);
 const completed = (request: string): Change => state => clearSuspect(state, fingerprint(request));
 
 type Case = {
@@ -96,7 +97,7 @@
 cases.forEach(({ name, changes, withheld, quarantined }) =>
     test(`withheld requests: ${name}`, t => {
         const state = changes.reduce((before, change) => change(before), noSuspects);
-        t.deepEqual(NAMES.filter(request => isHeld(state, fingerprint(request))), withheld);
+        t.deepEqual(NAMES.filter(request => isWithheld(state, fingerprint(request))), withheld);
         t.deepEqual(
             NAMES.filter(request => quarantinedUntil(state, fingerprint(request), 0) !== undefined),
             quarantined,
--- a/packages/request/src/isSpreadTo.ts
+++ b/packages/request/src/isAssignedEndpoint.ts
@@ -14,7 +14,7 @@
  *
  * @param endpoints all endpoints that can serve the request
  */
-export function isSpreadTo(
+export function isAssignedEndpoint(
     state: SuspectState,
     request: RequestFingerprint,
     endpoint: EndpointName,
--- a/packages/request/src/isHeld.ts
+++ b/packages/request/src/isWithheld.ts
@@ -10,7 +10,7 @@
  * crash a third endpoint in the meantime. To prevent this, a possible death that has not been checked yet counts like a
  * confirmed one.
  */
-export function isHeld(state: SuspectState, request: RequestFingerprint): boolean {
+export function isWithheld(state: SuspectState, request: RequestFingerprint): boolean {
     const deathIds = deathsOf(state, request).map(death => death.id);
     return new Set([...deathIds, ...state.unjudged.get(request) ?? []]).size >= SUSPECT_LIMITS.withholdAtDeaths;
 }
--- a/packages/request/src/probeUntilClear.ts
+++ b/packages/request/src/probeUntilClear.ts
@@ -1,7 +1,7 @@
 import { setTimeout as sleep } from "node:timers/promises";
 
-import type { Probe } from "./Probe.js";
-import type { ProbePace } from "./ProbePace.js";
+import type { ProbeResult } from "./ProbeResult.js";
+import type { ProbeTiming } from "./ProbeTiming.js";
 
 /**
  * Probes a process repeatedly until the result is clear. A process whose result is still unclear at the end counts as
@@ -13,7 +13,10 @@
  *
  * @returns whether the process has died
  */
-export async function probeUntilClear(probe: () => Promise<Probe>, { againMs, allMs }: ProbePace): Promise<boolean> {
+export async function probeUntilClear(
+    probe: () => Promise<ProbeResult>,
+    { againMs, allMs }: ProbeTiming,
+): Promise<boolean> {
     const until = performance.now() + allMs;
     const poll = async (): Promise<boolean> => {
         const result = await probe();
--- a/packages/request/src/noteBreak.ts
+++ b/packages/request/src/recordBrokenTry.ts
@@ -6,7 +6,7 @@
  *
  * @param deathId id that the death has if the endpoint has died
  */
-export function noteBreak(state: SuspectState, request: RequestFingerprint, deathId: string): SuspectState {
+export function recordBrokenTry(state: SuspectState, request: RequestFingerprint, deathId: string): SuspectState {
     const deathIds = [...new Set([...state.unjudged.get(request) ?? [], deathId])];
     return { ...state, unjudged: new Map([...state.unjudged, [request, deathIds] as const]) };
 }
--- a/packages/request/src/noteDeath.ts
+++ b/packages/request/src/recordDeath.ts
@@ -40,7 +40,7 @@
  * several requests were running at both by chance, none is quarantined: they stay suspects, are sent to different
  * endpoints, and the next death tells them apart.
  */
-export function noteDeath(state: SuspectState, report: DeathReport, now: Millis): Step<SuspectState, SuspectEffect> {
+export function recordDeath(state: SuspectState, report: DeathReport, now: Millis): Step<SuspectState, SuspectEffect> {
     const current = forgetExpired(state, now);
     const known = current.deaths.find(other => other.id === report.death.id);
     const death = mergeReport(known, report, now);
--- a/packages/request/src/heldUntil.ts
+++ b/packages/request/src/withheldUntil.ts
@@ -1,7 +1,7 @@
 import type { Millis } from "@azureshunt/core";
 
 import { deathsOf } from "./deathsOf.js";
-import { isHeld } from "./isHeld.js";
+import { isWithheld } from "./isWithheld.js";
 import type { RequestFingerprint } from "./RequestFingerprint.js";
 import { SUSPECT_LIMITS } from "./SUSPECT_LIMITS.js";
 import type { SuspectState } from "./SuspectState.js";
@@ -12,8 +12,8 @@
  *
  * @returns `undefined` if it may run, and `now` if it is withheld only because of possible deaths not checked yet
  */
-export function heldUntil(state: SuspectState, request: RequestFingerprint, now: Millis): Millis | undefined {
-    if (!isHeld(state, request)) {
+export function withheldUntil(state: SuspectState, request: RequestFingerprint, now: Millis): Millis | undefined {
+    if (!isWithheld(state, request)) {
         return undefined;
     }
     // It may run again once too few deaths are left to withhold it, that is when the oldest of the newest ones expires.
--- a/packages/router/src/dispatch/hasDied.ts
+++ b/packages/router/src/dispatch/hasDied.ts
@@ -2,10 +2,10 @@
 
 import type { Millis } from "@azureshunt/core";
 import { probeUntilClear } from "@azureshunt/request";
-import type { Probe, ProbePace } from "@azureshunt/request";
+import type { ProbeResult, ProbeTiming } from "@azureshunt/request";
 
 /** Time limits for probing whether a process is alive. */
-type ProbeBounds = ProbePace & {
+type ProbeBounds = ProbeTiming & {
     /** For a connection to be accepted or refused. */
     readonly connectMs: Millis;
     /** How long an accepted connection must stay open. A dying process resets it within a few milliseconds. */
@@ -14,11 +14,11 @@
 
 const BOUNDS: ProbeBounds = { connectMs: 300, minOpenMs: 20, againMs: 25, allMs: 900 };
 
-const probe = (address: string, { connectMs, minOpenMs }: ProbeBounds): Promise<Probe> => {
+const probe = (address: string, { connectMs, minOpenMs }: ProbeBounds): Promise<ProbeResult> => {
     const [host, port] = address.split(":");
     return new Promise(resolve => {
         const socket = connect({ host, port: Number(port) });
-        const settle = (result: Probe): void => {
+        const settle = (result: ProbeResult): void => {
             socket.destroy();
             resolve(result);
         };
--- a/spec/intent.pml
+++ b/spec/intent.pml
@@ -1,8 +1,8 @@
 /*
  * Intents of requests that may not be repeated: at most one run of a key.
  *
- * Models packages/intent: foldIntents (the first intent since the key was free owns it), standingOf (only the owner is
- * free to go), beginIntent, withdrawIntent, verdictOfTaken (nobody takes over). Daemons pause between any two steps, die
+ * Models packages/intent: foldIntents (the first intent since the key was free owns it), keyStatusOf (only the owner is
+ * free to go), beginIntent, withdrawIntent, decideTakenKey (nobody takes over). Daemons pause between any two steps, die
  * and come back with nothing; the log drops appends, takes them late and in any order, and the answer tells nothing: a
  * daemon goes by what it reads back.
  *
--- a/spec/lease.pml
+++ b/spec/lease.pml
@@ -2,7 +2,7 @@
  * The order lease of a failure domain, agreed through the log alone, and an engine that takes orders.
  *
  * Models `stepLease` (records count only right behind the last one their writer knew; claims wait for the lease's whole
- * time; holding counts from when it was asked for) and `mayOrder` of packages/fleet, and the engine's check of fencing
+ * time; holding counts from when it was asked for) and `fencingTokenForOrder` of packages/fleet, and the engine's check of fencing
  * numbers. Two daemons, discrete time, reads and appends of any lateness, lost appends, pauses anywhere: a process that
  * is not scheduled is a process that is paused.
  *
