--- a/spec/intent.pml
+++ b/spec/intent.pml
@@ -1,8 +1,8 @@
 /*
  * Intents of requests that must not be repeated: a key has at most one run.
  *
- * Models packages/intent: foldIntents (the first intent since the key was free owns it), standingOf (only the owner
- * may begin), beginIntent, withdrawIntent, verdictOfTaken (no daemon takes over). Daemons may pause between any two
+ * Models packages/intent: foldIntents (the first intent since the key was free owns it), keyStatusOf (only the owner
+ * may begin), beginIntent, withdrawIntent, decideTakenKey (no daemon takes over). Daemons may pause between any two
  * steps, or die and restart without state. The log may drop appends, or accept them late and in any order. A daemon
  * ignores the answers to its appends and relies only on what it reads back.
  *
--- a/spec/lease.pml
+++ b/spec/lease.pml
@@ -2,7 +2,7 @@
  * The order lease of a failure domain, agreed on through the log alone, and an engine that executes orders.
  *
  * Models `stepLease` (a record is valid only directly after the last record that its writer knew; a claim waits for
- * the full lease time; the lease is measured from when it was requested) and `mayOrder` of packages/fleet, and the
+ * the full lease time; the lease is measured from when it was requested) and `fencingTokenForOrder` of packages/fleet, and the
  * engine's check of fencing numbers. Two daemons, discrete time, reads and appends with any delay, lost appends,
  * suspensions at any point: a process that is not scheduled is suspended.
  *
