--- a/packages/bench/src/slopes/stateSlopes.ts
+++ b/packages/bench/src/slopes/stateSlopes.ts
@@ -50,7 +50,7 @@
     const perEndpoint = Math.ceil(hashes.length / ENDPOINTS);
     Array.from({ length: ENDPOINTS }, (_, i) => i).forEach(i => {
         const endpoint = EndpointName.parse(`engine-${i}`);
-        index.begin(endpoint, incarnation);
+        index.startIncarnation(endpoint, incarnation);
         index.resync(endpoint, {
             incarnation,
             seq: 0,
@@ -169,7 +169,7 @@
     }),
 ];
 
-/** Slopes of the aggregates, measured inside this process. */
+/** Measures slopes of the aggregates inside this process. */
 export function stateSlopes(): readonly Slope[] {
     return [...organisationSlopes(), ...blockSlopes(), ...requestSlopes()];
 }
--- a/spec/orderLease.pml
+++ b/spec/orderLease.pml
@@ -1,19 +1,21 @@
 /*
- * The order lease on a platform whose store appends under a condition.
+ * The order lease on a platform whose store supports conditional appends.
  *
- * Models `stepOrderLease` (a claim is appended only at the known end of the stream; another VM claims when the last record
- * has lain there for the holding time and an engine's time; holding counts from when the claim was sent; a lost answer makes
- * the end unknown; a pause voids the lease, and claims that were sent before it) and `orderFence` of packages/router. Two
- * VMs, discrete time, appends that land late, are answered late or never, a VM that is suspended while its clock stands
- * still.
+ * Models `stepOrderLease` (a claim is appended only at the known end of the stream; another VM claims once the last
+ * record has been there for the holding time (HOLD) plus the time that an order binds an engine (LEASE); the lease is
+ * measured from the sending of the claim; a lost answer makes the end unknown; a suspension voids the lease and all
+ * claims sent before it) and `orderFence` of packages/router. Two VMs, discrete time, appends that are stored late, or
+ * answered late or never, and a VM that is suspended while its clock stands still.
  *
- * Holds: an order follows another VM's last one no sooner than an engine's time, with a higher fence; the fence never goes
- * back.
- * -DNO_WAIT lets a VM claim without waiting: two VMs give orders by turns.
+ * Properties: an order follows the last order of another VM no sooner than LEASE and with a higher fence; the fence
+ * never goes back.
+ *
+ * Each of these removes one guard:
+ * -DNO_WAIT lets a VM claim without waiting: two VMs alternate in issuing orders.
  * -DNO_CONDITION lets the store append at any end: two VMs claim after the same record.
- * -DNO_PAUSE leaves a suspension unnoticed: a VM gives orders under a lease that ran out.
- * -DNO_VOID takes the answer to a claim that was sent before a suspension: its time does not count.
- * -DNO_ASKED counts holding from the answer: it outlasts what the others wait for.
+ * -DNO_PAUSE ignores suspensions: a VM issues orders under an expired lease.
+ * -DNO_VOID accepts the answer to a claim sent before a suspension: the time of the suspension is not counted.
+ * -DNO_ASKED measures the lease from the answer: it lasts longer than the other VMs wait.
  */
 #define HOLD 2
 #define LEASE 1
@@ -27,20 +29,20 @@
 byte logHolder[MAX_LOG];
 
 byte lost[2];                /* time that each VM's clock has stood still */
-bool unnoticed[2];           /* suspended since it last looked */
-byte pausedAt[2];            /* own clock + 1 of the last suspension noticed */
+bool unnoticed[2];           /* suspended since the last check for a suspension */
+byte suspendedAt[2];         /* own clock + 1 at the last detected suspension */
 
 byte end[2] = NONE;          /* NONE: not known */
 byte tail[2] = NONE;         /* offset of the last record known */
 byte tailHolder[2];
-byte since[2];               /* known to lie there since, on the VM's own clock */
-byte confirmed[2];           /* own clock + 1 of the claim's sending; 0: not held */
+byte since[2];               /* own clock since which that record is known to be there */
+byte confirmed[2];           /* own clock + 1 when the claim was sent; 0: not held */
 
 bool asking[2];
 byte askedAt[2];
-byte flyingAt[2] = NONE;     /* condition of the append on its way */
-byte landed[2] = NONE;       /* offset at which it landed */
-byte lateAt[2] = NONE;       /* condition of an append whose VM waits no longer */
+byte inTransitAt[2] = NONE;  /* condition of the append in transit */
+byte storedAt[2] = NONE;     /* offset at which it was stored */
+byte lateAt[2] = NONE;       /* condition of an append whose VM no longer waits for it */
 
 byte lastVm = NONE;
 byte lastSent = 0;
@@ -52,7 +54,7 @@
 #ifdef NO_VOID
 #define IS_VOID(vm) false
 #else
-#define IS_VOID(vm) (askedAt[vm] + 1 <= pausedAt[vm])
+#define IS_VOID(vm) (askedAt[vm] + 1 <= suspendedAt[vm])
 #endif
 
 #ifdef NO_WAIT
@@ -70,12 +72,12 @@
 proctype Vm(byte self) {
     do
     :: now >= MAX_TIME -> break
-    /* The process looks at its clocks before it does anything that old knowledge would make wrong. */
+    /* The process checks its clocks before any action that would be wrong with outdated state. */
     :: atomic {
         unnoticed[self] -> unnoticed[self] = false;
 #ifndef NO_PAUSE
         confirmed[self] = 0;
-        pausedAt[self] = CLOCK(self) + 1
+        suspendedAt[self] = CLOCK(self) + 1
 #endif
     }
     :: atomic { !unnoticed[self] && !asking[self] && !HELD(self) && end[self] == NONE ->
@@ -91,10 +93,10 @@
     :: atomic { self == 0 && !unnoticed[self] && !asking[self] && !HELD(self) && end[self] != NONE && MAY_CLAIM(self) ->
         asking[self] = true;
         askedAt[self] = CLOCK(self);
-        flyingAt[self] = end[self];
-        landed[self] = NONE
+        inTransitAt[self] = end[self];
+        storedAt[self] = NONE
     }
-    /* The second VM's calls are answered at once, which leaves the search small; what is lost and late is the first one's. */
+    /* The second VM's calls are answered at once, to keep the search small; only the first VM's are lost or late. */
     :: atomic { self == 1 && !HELD(self) && end[self] != NONE && MAY_CLAIM(self) ->
         if
         :: AT_END(end[self]) ->
@@ -108,11 +110,11 @@
         :: else -> end[self] = NONE
         fi
     }
-    /* The answer comes. */
-    :: atomic { !unnoticed[self] && asking[self] && landed[self] != NONE ->
+    /* The answer arrives. */
+    :: atomic { !unnoticed[self] && asking[self] && storedAt[self] != NONE ->
         asking[self] = false;
-        end[self] = landed[self] + 1;
-        tail[self] = landed[self];
+        end[self] = storedAt[self] + 1;
+        tail[self] = storedAt[self];
         tailHolder[self] = self;
         since[self] = askedAt[self];
         if
@@ -123,19 +125,19 @@
         :: else -> confirmed[self] = askedAt[self] + 1
 #endif
         fi;
-        landed[self] = NONE
+        storedAt[self] = NONE
     }
-    /* It is lost, or the append was refused; what is still on its way may land later. */
+    /* The answer is lost, or the append was refused; an append still in transit may be stored later. */
     :: atomic { asking[self] ->
         asking[self] = false;
         end[self] = NONE;
-        landed[self] = NONE;
+        storedAt[self] = NONE;
         if
-        :: flyingAt[self] != NONE -> lateAt[self] = flyingAt[self]; flyingAt[self] = NONE
+        :: inTransitAt[self] != NONE -> lateAt[self] = inTransitAt[self]; inTransitAt[self] = NONE
         :: else -> skip
         fi
     }
-    /* An order; its fence is asked for right before it goes out. */
+    /* Sends an order; its fence is read directly before sending. */
     :: atomic { !unnoticed[self] && HELD(self) && tailHolder[self] == self ->
         assert(lastVm == NONE || tail[self] >= lastFence);
         assert(lastVm == NONE || lastVm == self || (now - lastSent >= LEASE && tail[self] > lastFence));
@@ -151,16 +153,16 @@
     do
     :: now >= MAX_TIME -> break
     :: atomic {
-        flyingAt[0] != NONE || flyingAt[1] != NONE ->
+        inTransitAt[0] != NONE || inTransitAt[1] != NONE ->
         if
-        :: flyingAt[0] != NONE -> who = 0
-        :: flyingAt[1] != NONE -> who = 1
+        :: inTransitAt[0] != NONE -> who = 0
+        :: inTransitAt[1] != NONE -> who = 1
         fi;
         if
-        :: AT_END(flyingAt[who]) -> logHolder[logLength] = who; landed[who] = logLength; logLength++
+        :: AT_END(inTransitAt[who]) -> logHolder[logLength] = who; storedAt[who] = logLength; logLength++
         :: else -> skip
         fi;
-        flyingAt[who] = NONE;
+        inTransitAt[who] = NONE;
         who = 0
     }
     :: atomic {
