--- a/packages/daemon/src/placement/createPlacementPort.ts
+++ b/packages/daemon/src/placement/createPlacementPort.ts
@@ -81,7 +81,7 @@
     const engineUpdates = shareEngineUpdates(ctx, engines, {
         onCacheEvent: (endpoint, event) => post({ kind: "cache-event", endpoint, event }),
         onLoad: (endpoint, report, requestedAt) =>
-            post({ kind: "endpoint", endpoint, event: { kind: "load-reported", report, askedAt: requestedAt } }),
+            post({ kind: "endpoint", endpoint, event: { kind: "load-reported", report, requestedAt } }),
     });
 
     const watch = (spec: EndpointSpec): ReturnType<typeof startWatch> =>
@@ -95,7 +95,7 @@
             onEvent: event => {
                 post({ kind: "endpoint", endpoint: spec.name, event });
                 if (event.kind === "load-reported") {
-                    engineUpdates.sendLoad(spec.name, event.report, event.askedAt);
+                    engineUpdates.sendLoad(spec.name, event.report, event.requestedAt);
                 }
             },
             onCacheEvent: event => {
--- a/packages/daemon/src/placement/pollLoad.ts
+++ b/packages/daemon/src/placement/pollLoad.ts
@@ -27,7 +27,7 @@
         const measuredAt = now - lagOf(at, clock.epoch());
         onEvent({
             kind: "load-reported",
-            askedAt: requestedAt,
+            requestedAt,
             report: { incarnation, running, waiting, waitingTokens, measuredAt },
         });
     });
--- a/packages/daemon/src/placement/pollState.ts
+++ b/packages/daemon/src/placement/pollState.ts
@@ -36,7 +36,7 @@
     }
     watch.onEvent(answer.caseOf<EndpointEvent>({
         Left: () => ({ kind: "probe-failed" }),
-        Right: state => ({ kind: "state-reported", askedAt: requestedAt, ...state }),
+        Right: state => ({ kind: "state-reported", requestedAt, ...state }),
     }));
     return answer.caseOf({
         Left: () => DOWN_POLL_INTERVAL_MS,
--- a/packages/endpoint/src/__tests__/unit/stepEndpoint.test.ts
+++ b/packages/endpoint/src/__tests__/unit/stepEndpoint.test.ts
@@ -33,16 +33,16 @@
 
 const run = (state: EndpointState, events: readonly Timed[]) =>
     events.reduce((current, { at, event }) => stepEndpoint(current, event, at).state, state);
-const state = (at: number, incarnation = INCARNATION_A, askedAt = at, ready = true): Timed => ({
+const state = (at: number, incarnation = INCARNATION_A, requestedAt = at, ready = true): Timed => ({
     at,
-    event: { kind: "state-reported", incarnation, ready, holds: HELD, askedAt },
+    event: { kind: "state-reported", incarnation, ready, holds: HELD, requestedAt },
 });
 const load = (at: number, running: number, waiting: number, waitingTokens: number, measuredAt = at): Timed => ({
     at,
     event: {
         kind: "load-reported",
         report: { incarnation: INCARNATION_A, running, waiting, waitingTokens, measuredAt },
-        askedAt: at,
+        requestedAt: at,
     },
 });
 const dispatch = (at: number, id: string, prefillTokens: number, backlogTokens = 0): Timed => ({
--- a/packages/endpoint/src/state/EndpointEvent.ts
+++ b/packages/endpoint/src/state/EndpointEvent.ts
@@ -32,7 +32,7 @@
         readonly dispatchId: DispatchId;
         readonly outcome: "complete" | "refused" | "died" | "cancelled";
     }
-    | { readonly kind: "load-reported"; readonly report: LoadReport; readonly askedAt: Millis; }
+    | { readonly kind: "load-reported"; readonly report: LoadReport; readonly requestedAt: Millis; }
     /** Another VM sent work to the endpoint. */
     | { readonly kind: "dispatched-elsewhere"; readonly prefillTokens: Tokens; readonly sentAt: Millis; }
     /** Another VM observed the endpoint's prefill speed. */
@@ -43,6 +43,6 @@
         readonly incarnation: Incarnation | undefined;
         readonly ready: boolean;
         readonly holds: readonly HeldWeights[];
-        readonly askedAt: Millis;
+        readonly requestedAt: Millis;
     }
     | { readonly kind: "probe-failed"; };
--- a/packages/endpoint/src/state/stepEndpoint.ts
+++ b/packages/endpoint/src/state/stepEndpoint.ts
@@ -40,10 +40,10 @@
 function observeIncarnation(
     state: EndpointState,
     incarnation: Incarnation | undefined,
-    askedAt: Millis,
+    requestedAt: Millis,
     now: Millis,
 ): EndpointStep {
-    if (incarnation === undefined || incarnation === state.incarnation || askedAt < state.incarnationSeenAt) {
+    if (incarnation === undefined || incarnation === state.incarnation || requestedAt < state.incarnationSeenAt) {
         return step(state);
     }
     const restarted = { ...state, incarnation, incarnationSeenAt: now, report: undefined, holds: [], ready: false };
@@ -129,7 +129,7 @@
 
 function loadReported(state: EndpointState, event: EventOf<"load-reported">, now: Millis): EndpointStep {
     const { report } = event;
-    const observed = observeIncarnation(state, report.incarnation, event.askedAt, now);
+    const observed = observeIncarnation(state, report.incarnation, event.requestedAt, now);
     if (!isOfCurrentIncarnation(observed.state, report.incarnation)) {
         return observed;
     }
@@ -137,7 +137,7 @@
 }
 
 function stateReported(state: EndpointState, event: EventOf<"state-reported">, now: Millis): EndpointStep {
-    const observed = observeIncarnation(state, event.incarnation, event.askedAt, now);
+    const observed = observeIncarnation(state, event.incarnation, event.requestedAt, now);
     if (!isOfCurrentIncarnation(observed.state, event.incarnation)) {
         return observed;
     }
