--- a/packages/bench/src/__tests__/unit/analysis.test.ts
+++ b/packages/bench/src/__tests__/unit/analysis.test.ts
@@ -6,7 +6,7 @@
 import { parseMetrics } from "../../analysis/parseMetrics.js";
 import { percentilesOf } from "../../analysis/percentilesOf.js";
 import { replayCaches } from "../../analysis/replayCaches.js";
-import { shiftRecovery } from "../../analysis/shiftRecovery.js";
+import { shiftRecoverySeconds } from "../../analysis/shiftRecoverySeconds.js";
 
 const ALLOWED = { organisation: "a", rate: 10, burst: 20, initialTokens: 20 };
 
@@ -111,7 +111,7 @@
     { name: "not at all", uses: [use(1_100, 0)], seconds: undefined },
 ].forEach(({ name, uses, seconds }) =>
     test(`hot prefix shift: recovers ${name}`, t => {
-        t.is(shiftRecovery(uses, 1_000, 0.8), seconds);
+        t.is(shiftRecoverySeconds(uses, 1_000, 0.8), seconds);
     })
 );
 
--- a/packages/bench/src/analysis/shiftRecovery.ts
+++ b/packages/bench/src/analysis/shiftRecoverySeconds.ts
@@ -16,7 +16,7 @@
  * @param shiftedAt milliseconds since the epoch
  * @returns the end of the first second with a recovered hit rate; `undefined` if there is none
  */
-export function shiftRecovery(
+export function shiftRecoverySeconds(
     uses: readonly CacheUse[],
     shiftedAt: number,
     steadyHitRate: number,
--- a/packages/bench/src/checkHistory/main.ts
+++ b/packages/bench/src/checkHistory/main.ts
@@ -2,7 +2,7 @@
  * Checks the history of one run of real processes: `check-history --seed N --faults LIST`. Exit codes: 0 all checks
  * passed, 1 one failed, 2 bad usage.
  */
-import { judgeSpending } from "@azureshunt/history";
+import { checkSpending } from "@azureshunt/history";
 import { cac } from "cac";
 import { z } from "zod";
 
@@ -69,7 +69,7 @@
         ]);
         faults.forEach(line => console.log(`fault after ${line}`));
         const runs = await readModelRuns(topology);
-        const worstInterval = judgeSpending(runs, { organisation: id, rate, burst, outputTokens: OUTPUT_TOKENS });
+        const worstInterval = checkSpending(runs, { organisation: id, rate, burst, outputTokens: OUTPUT_TOKENS });
         const allowanceRefusals = outcomes.filter(outcome => ALLOWANCE_REFUSAL_CODES.includes(outcome.code ?? ""));
         const latencies = allowanceRefusals.map(outcome => outcome.latencyMs).sort((a, b) => a - b);
         const tokensOver = worstInterval?.over ?? 0;
--- a/packages/bench/src/measure/measureRun.ts
+++ b/packages/bench/src/measure/measureRun.ts
@@ -11,7 +11,7 @@
 import { replayCaches } from "../analysis/replayCaches.js";
 import type { RunFigures } from "../analysis/RunFigures.js";
 import type { RunRecord } from "../analysis/RunRecord.js";
-import { shiftRecovery } from "../analysis/shiftRecovery.js";
+import { shiftRecoverySeconds } from "../analysis/shiftRecoverySeconds.js";
 import { runOpenLoop } from "../load/runOpenLoop.js";
 import { readProcessUsage } from "../process/readProcessUsage.js";
 import { applyRelease } from "../topology/applyRelease.js";
@@ -86,7 +86,7 @@
     }
     const before = run.phases.slice(0, index).reduce((sum, { seconds }) => sum + seconds, 0) * MS_PER_SECOND;
     const shiftedAt = run.startedAt + before;
-    return shiftRecovery(run.cacheUses.filter(({ at }) => at >= shiftedAt), shiftedAt, steadyHitRate(run));
+    return shiftRecoverySeconds(run.cacheUses.filter(({ at }) => at >= shiftedAt), shiftedAt, steadyHitRate(run));
 };
 
 const runTraffic = async (plan: RunPlan & { readonly folder: string; }, topology: Topology): Promise<RunFigures> => {
--- a/packages/daemon/src/dispatch/createTries.ts
+++ b/packages/daemon/src/dispatch/createRetryPolicy.ts
@@ -23,7 +23,7 @@
         : end;
 
 /** Creates a retry policy with a retry budget that all requests share. */
-export function createTries(clock: Clock, metrics: Metrics): RetryPolicy {
+export function createRetryPolicy(clock: Clock, metrics: Metrics): RetryPolicy {
     const shared = { budget: fullRetryBudget(MAX_RETRY_BUDGET, RETRIES_PER_REQUEST) };
 
     const onArrival: RetryPolicy["onArrival"] = call => {
--- a/packages/daemon/src/gateway/recheckCall.ts
+++ b/packages/daemon/src/gateway/createKeyCheck.ts
@@ -12,7 +12,7 @@
  * A key may be withdrawn while its request waits in a queue or between two tries. Symptom: work done for a withdrawn key.
  * To prevent this, the key's id is looked up in the newest configuration right before each try is sent.
  */
-export function recheckCall(release: ReleasePort): (call: Call) => Either<Refusal, Call> {
+export function createKeyCheck(release: ReleasePort): (call: Call) => Either<Refusal, Call> {
     return call =>
         release.current()?.keys.get(call.keyId)?.organisation === call.organisation
             ? Right(call)
--- a/packages/daemon/src/startDaemon.ts
+++ b/packages/daemon/src/startDaemon.ts
@@ -11,11 +11,11 @@
 import { createReleasePort } from "./configuration/createReleasePort.js";
 import { createTracePort } from "./createTracePort.js";
 import { createEndpointConnections } from "./dispatch/createEndpointConnections.js";
-import { createTries } from "./dispatch/createTries.js";
+import { createRetryPolicy } from "./dispatch/createRetryPolicy.js";
 import { createTrafficVersions } from "./fleet/createTrafficVersions.js";
 import { startEngineOrders } from "./fleet/startEngineOrders.js";
 import { authenticateCaller } from "./gateway/authenticateCaller.js";
-import { recheckCall } from "./gateway/recheckCall.js";
+import { createKeyCheck } from "./gateway/createKeyCheck.js";
 import { startCallerListener } from "./gateway/startCallerListener.js";
 import { createIntentPort } from "./intent/createIntentPort.js";
 import { createMembershipPort } from "./membership/createMembershipPort.js";
@@ -85,9 +85,9 @@
             placement,
             suspects,
             connections,
-            tries: createTries(clock, metrics),
+            tries: createRetryPolicy(clock, metrics),
             trace,
-            recheck: recheckCall(release),
+            recheck: createKeyCheck(release),
         },
         allowance,
         intents,
--- a/packages/history/src/__tests__/unit/judgeSpending.test.ts
+++ b/packages/history/src/__tests__/unit/checkSpending.test.ts
@@ -1,6 +1,6 @@
 import test from "ava";
 
-import { judgeSpending } from "../../judgeSpending.js";
+import { checkSpending } from "../../checkSpending.js";
 
 const LIMIT = { organisation: "acme", rate: 100, burst: 1_000, outputTokens: 0 };
 const run = (at: number, promptTokens: number, organisation = "acme") => ({
@@ -27,6 +27,6 @@
     { name: "runs may be given out of order", runs: [run(1_000, 100), run(0, 1_000)], over: 0 },
 ].forEach(({ name, runs, over }) =>
     test(`spending: ${name}`, t => {
-        t.is(judgeSpending(runs, LIMIT)?.over, over);
+        t.is(checkSpending(runs, LIMIT)?.over, over);
     })
 );
